--- a/crates/mothpier-coordination-client/src/session.rs
+++ b/crates/mothpier-coordination-client/src/session.rs
@@ -140,7 +140,7 @@
 
     /// The clock by which it counts, in ms: it also runs while the machine is suspended.
     pub fn clock(&self) -> u64 {
-        self.client.net().awake().as_millis() as u64
+        self.client.net().boot_time().as_millis() as u64
     }
 
     fn until_renewal(&self) -> Duration {
--- a/crates/mothpier-membership/src/hand.rs
+++ b/crates/mothpier-membership/src/admin_drain.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::line::{Line, Phase};
+use crate::server_record::{Phase, ServerRecord};
 
 /// Boxes that may be out at a time: far more than a fleet has, and a bound for what callers can make a node keep.
 pub const MOST_OUT: usize = 4_096;
@@ -17,7 +17,7 @@
 
 /// Why a call is not obeyed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum AdminDrainError {
     /// Neither the sources nor the hand know it.
     Unknown,
     /// It is the origin, without which no write goes anywhere.
@@ -26,22 +26,22 @@
     Full,
 }
 
-impl Refused {
+impl AdminDrainError {
     /// In words for staff.
     pub fn name(self) -> &'static str {
         match self {
-            Refused::Unknown => "no cache server of this id is known here",
-            Refused::Origin => "that is the origin, not a cache server",
-            Refused::Full => "too many cache servers are out by hand",
+            AdminDrainError::Unknown => "no cache server of this id is known here",
+            AdminDrainError::Origin => "that is the origin, not a cache server",
+            AdminDrainError::Full => "too many cache servers are out by hand",
         }
     }
 }
 
 /// What staff say of boxes, and what the sources last said of each.
 #[derive(Clone, Debug, Default)]
-pub struct Hand {
+pub struct AdminDrains {
     origin: Option<String>,
-    listed: BTreeMap<String, Line>,
+    listed: BTreeMap<String, ServerRecord>,
     /// Out, and since when.
     out: BTreeMap<String, u64>,
     /// Drained by the fleet's agreement, and since when: a set of its own, so that neither word undoes the other.
@@ -50,14 +50,14 @@
     back: BTreeMap<String, (u64, u64)>,
 }
 
-impl Hand {
+impl AdminDrains {
     /// Nothing is out; the origin's machine kind tells what is no cache server.
     pub fn new(origin: Option<String>) -> Self {
-        Hand { origin, ..Hand::default() }
+        AdminDrains { origin, ..AdminDrains::default() }
     }
 
     /// Takes what the sources say, whole or changes, and gives it as it counts.
-    pub fn list(&mut self, whole: bool, mut lines: Vec<Line>) -> Vec<Line> {
+    pub fn list(&mut self, whole: bool, mut lines: Vec<ServerRecord>) -> Vec<ServerRecord> {
         if whole {
             self.listed.clear();
         }
@@ -80,16 +80,16 @@
     /// # Errors
     ///
     /// One that is not known here or is no cache server.
-    pub fn exclude(&mut self, now: u64, id: &str) -> Result<Option<Line>, Refused> {
+    pub fn exclude(&mut self, now: u64, id: &str) -> Result<Option<ServerRecord>, AdminDrainError> {
         if self.out.contains_key(id) {
             return Ok(None);
         }
-        let line = self.listed.get(id).ok_or(Refused::Unknown)?;
+        let line = self.listed.get(id).ok_or(AdminDrainError::Unknown)?;
         if self.is_origin(line) {
-            return Err(Refused::Origin);
+            return Err(AdminDrainError::Origin);
         }
         if self.out.len() >= MOST_OUT {
-            return Err(Refused::Full);
+            return Err(AdminDrainError::Full);
         }
         let line = line.clone();
         self.back.remove(id);
@@ -102,13 +102,13 @@
     /// # Errors
     ///
     /// One that neither the sources nor the hand know.
-    pub fn include(&mut self, now: u64, id: &str) -> Result<Option<Line>, Refused> {
+    pub fn include(&mut self, now: u64, id: &str) -> Result<Option<ServerRecord>, AdminDrainError> {
         let since = self.out.remove(id);
         let drained = self.agreed.contains_key(id);
         match (since, self.listed.get(id).cloned()) {
             (Some(_), Some(_)) if drained => Ok(None),
-            (None, None) => Err(Refused::Unknown),
-            (None, Some(line)) if self.is_origin(&line) => Err(Refused::Origin),
+            (None, None) => Err(AdminDrainError::Unknown),
+            (None, Some(line)) if self.is_origin(&line) => Err(AdminDrainError::Origin),
             (None, Some(_)) | (Some(_), None) => Ok(None),
             (Some(since), Some(line)) => {
                 self.back.insert(id.to_owned(), (since, now));
@@ -118,8 +118,8 @@
     }
 
     /// Who is drained by the fleet's agreement, all of them. Gives the lines that change by it.
-    pub fn agree(&mut self, now: u64, drained: &BTreeSet<String>) -> Vec<Line> {
-        let mut changed: Vec<Line> = Vec::new();
+    pub fn agree(&mut self, now: u64, drained: &BTreeSet<String>) -> Vec<ServerRecord> {
+        let mut changed: Vec<ServerRecord> = Vec::new();
         let over: Vec<(String, u64)> = self.agreed.extract_if(.., |id, _| !drained.contains(id)).collect();
         for (id, since) in over.into_iter().filter(|(id, _)| !self.out.contains_key(id)) {
             let line = self.listed.get(&id).filter(|line| !self.is_origin(line)).cloned();
@@ -139,17 +139,17 @@
     }
 
     /// The cache servers that the sources say are ready, whatever is said by hand.
-    pub fn ready(&self) -> impl Iterator<Item = &Line> {
+    pub fn ready(&self) -> impl Iterator<Item = &ServerRecord> {
         self.listed.values().filter(|line| line.phase == Phase::Ready && !self.is_origin(line))
     }
 
     /// One that knows of nobody who is out.
     pub fn emptied(self) -> Self {
-        Hand::new(self.origin)
+        AdminDrains::new(self.origin)
     }
 
     /// What the sources say, without the hand.
-    pub fn listed(&self) -> impl Iterator<Item = &Line> {
+    pub fn listed(&self) -> impl Iterator<Item = &ServerRecord> {
         self.listed.values()
     }
 
@@ -159,8 +159,8 @@
     }
 
     /// Takes over who is out from an earlier process or another one of this node. Gives the lines that change by it.
-    pub fn take_over(&mut self, now: u64, out: &BTreeMap<String, u64>) -> Vec<Line> {
-        let mut changed: Vec<Line> = Vec::new();
+    pub fn take_over(&mut self, now: u64, out: &BTreeMap<String, u64>) -> Vec<ServerRecord> {
+        let mut changed: Vec<ServerRecord> = Vec::new();
         let back: Vec<String> = self.out.keys().filter(|id| !out.contains_key(*id)).cloned().collect();
         for id in back {
             changed.extend(self.include(now, &id).ok().flatten());
@@ -180,17 +180,17 @@
         boxes.map(|l| (l.id.as_str(), l.phase == Phase::Ready && !self.is_out(l)))
     }
 
-    fn is_origin(&self, line: &Line) -> bool {
+    fn is_origin(&self, line: &ServerRecord) -> bool {
         self.origin.as_ref().is_some_and(|kind| *kind == line.flavor)
     }
 
-    fn is_out(&self, line: &Line) -> bool {
+    fn is_out(&self, line: &ServerRecord) -> bool {
         // The origin is no cache server, whatever it is called.
         self.out.contains_key(&line.id) || self.agreed.contains_key(&line.id) && !self.is_origin(line)
     }
 
     /// A line as it counts.
-    fn counts(&self, mut line: Line) -> Line {
+    fn counts(&self, mut line: ServerRecord) -> ServerRecord {
         if self.is_out(&line) {
             if line.phase == Phase::Ready {
                 line.phase = Phase::Draining;
--- a/crates/mothpier-membership/src/hand/tests.rs
+++ b/crates/mothpier-membership/src/admin_drain/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn line(id: &str, phase: Phase, up_since_ms: u64) -> Line {
+fn line(id: &str, phase: Phase, up_since_ms: u64) -> ServerRecord {
     let flavor = if id == "o" { "origin" } else { "m" };
-    Line {
+    ServerRecord {
         id: id.into(),
         host_port: "10.0.0.1:1".into(),
         locality: "a".into(),
@@ -14,8 +14,8 @@
     }
 }
 
-fn hand() -> Hand {
-    let mut hand = Hand::new(Some("origin".into()));
+fn hand() -> AdminDrains {
+    let mut hand = AdminDrains::new(Some("origin".into()));
     let lines = ["a", "b", "o"].map(|id| line(id, Phase::Ready, 5)).to_vec();
     assert_eq!(hand.list(true, lines.clone()), lines);
     hand
@@ -43,14 +43,18 @@
 #[test]
 fn the_way_back_works_while_the_box_is_not_listed_and_strangers_are_owed_a_no() {
     let mut hand = hand();
-    assert_eq!(hand.exclude(1, "x"), Err(Refused::Unknown));
-    assert_eq!(hand.include(1, "x"), Err(Refused::Unknown));
-    assert_eq!(hand.exclude(1, "o"), Err(Refused::Origin));
-    assert_eq!(hand.include(1, "o"), Err(Refused::Origin));
+    assert_eq!(hand.exclude(1, "x"), Err(AdminDrainError::Unknown));
+    assert_eq!(hand.include(1, "x"), Err(AdminDrainError::Unknown));
+    assert_eq!(hand.exclude(1, "o"), Err(AdminDrainError::Origin));
+    assert_eq!(hand.include(1, "o"), Err(AdminDrainError::Origin));
     hand.exclude(1, "a").unwrap();
     hand.list(true, vec![line("b", Phase::Ready, 5)]);
     assert_eq!(hand.include(2, "a"), Ok(None));
-    assert_eq!(hand.include(3, "a"), Err(Refused::Unknown), "neither the list nor the hand know it now");
+    assert_eq!(
+        hand.include(3, "a"),
+        Err(AdminDrainError::Unknown),
+        "neither the list nor the hand know it now"
+    );
     assert_eq!(hand.list(false, vec![line("a", Phase::Ready, 5)])[0].phase, Phase::Ready);
 }
 
--- a/crates/mothpier-membership/src/names.rs
+++ b/crates/mothpier-membership/src/dns_servers.rs
@@ -5,7 +5,7 @@
 
 /// A box that DNS names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NamedBox {
+pub struct DnsServer {
     /// Where it is.
     pub address: SocketAddr,
     /// Lower ones are used first (RFC 2782).
@@ -16,7 +16,7 @@
 
 /// How far what DNS says may be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum DnsTrust {
     /// Nothing was heard yet.
     Unknown,
     /// It holds.
@@ -29,22 +29,22 @@
     Silent,
 }
 
-impl Word {
+impl DnsTrust {
     /// Its name for people.
     pub fn name(self) -> &'static str {
         match self {
-            Word::Unknown => "unknown",
-            Word::Fresh => "fresh",
-            Word::Stale => "stale",
-            Word::Nothing => "nothing",
-            Word::Silent => "silent",
+            DnsTrust::Unknown => "unknown",
+            DnsTrust::Fresh => "fresh",
+            DnsTrust::Stale => "stale",
+            DnsTrust::Nothing => "nothing",
+            DnsTrust::Silent => "silent",
         }
     }
 }
 
 /// When a source that shrinks is not obeyed at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Doubt {
+pub struct ShrinkGuard {
     /// More than this part of its boxes gone in one answer is doubted; so is an empty answer.
     pub share: f64,
     /// Further answers that must say the same.
@@ -53,15 +53,15 @@
     pub hold_ms: u64,
 }
 
-impl Default for Doubt {
+impl Default for ShrinkGuard {
     fn default() -> Self {
-        Doubt { share: 0.3, confirm: 3, hold_ms: 30_000 }
+        ShrinkGuard { share: 0.3, confirm: 3, hold_ms: 30_000 }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Held {
-    named: NamedBox,
+    named: DnsServer,
     /// When it was first named here: it counts as started then.
     since: u64,
     lost: bool,
@@ -77,33 +77,33 @@
 
 /// The boxes that DNS named.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Names {
-    doubt: Doubt,
+pub struct DnsServers {
+    doubt: ShrinkGuard,
     held: BTreeMap<SocketAddr, Held>,
     doubted: Option<Doubted>,
-    word: Word,
+    word: DnsTrust,
 }
 
-impl Names {
+impl DnsServers {
     /// Nothing yet.
-    pub fn new(doubt: Doubt) -> Self {
-        Names { doubt, held: BTreeMap::new(), doubted: None, word: Word::Unknown }
+    pub fn new(doubt: ShrinkGuard) -> Self {
+        DnsServers { doubt, held: BTreeMap::new(), doubted: None, word: DnsTrust::Unknown }
     }
 
     /// Takes what DNS says as of now. `all` is false while some hosts' addresses are not known: nothing is taken away
     /// then. `answers` counts the answers that were heard.
-    pub fn heard(&mut self, now: u64, word: Word, named: &[NamedBox], all: bool, answers: u64) {
+    pub fn heard(&mut self, now: u64, word: DnsTrust, named: &[DnsServer], all: bool, answers: u64) {
         self.word = word;
         match word {
-            Word::Unknown => return,
-            Word::Silent => return self.held.clear(),
-            Word::Fresh | Word::Stale | Word::Nothing => {}
+            DnsTrust::Unknown => return,
+            DnsTrust::Silent => return self.held.clear(),
+            DnsTrust::Fresh | DnsTrust::Stale | DnsTrust::Nothing => {}
         }
         for n in named {
             let held = self.held.entry(n.address).or_insert(Held { named: *n, since: now, lost: false });
             (held.named, held.lost) = (*n, false);
         }
-        if !all && word != Word::Nothing {
+        if !all && word != DnsTrust::Nothing {
             return;
         }
         let mut lost = 0;
@@ -130,12 +130,12 @@
     }
 
     /// The boxes that count: each with the time since when it is named, and whether that is doubted.
-    pub fn boxes(&self) -> impl Iterator<Item = (NamedBox, u64, bool)> + '_ {
+    pub fn boxes(&self) -> impl Iterator<Item = (DnsServer, u64, bool)> + '_ {
         self.held.values().map(|h| (h.named, h.since, h.lost))
     }
 
     /// How far it is trusted.
-    pub fn word(&self) -> Word {
+    pub fn word(&self) -> DnsTrust {
         self.word
     }
 
--- a/crates/mothpier-membership/src/rumour.rs
+++ b/crates/mothpier-membership/src/gossip.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::line::Phase;
+use crate::server_record::Phase;
 
 /// How a message begins; the other kinds of messages between nodes begin otherwise.
 pub const MAGIC: [u8; 4] = *b"MPW1";
@@ -49,8 +49,8 @@
 
 /// A rumour: a box's process wants nothing new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rumour {
-    /// The box, by its [`crate::Line::hash`].
+pub struct GossipItem {
+    /// The box, by its [`crate::ServerRecord::hash`].
     pub of: u64,
     /// Which process: when it started.
     pub up_since_ms: u64,
@@ -64,7 +64,7 @@
 
 #[derive(Clone, Debug)]
 struct Held {
-    rumour: Rumour,
+    rumour: GossipItem,
     /// Heard from another node (and then when), not from the own list.
     heard: Option<u64>,
     copies: u32,
@@ -76,17 +76,17 @@
 
 /// The rumours that a node holds.
 #[derive(Clone, Debug)]
-pub struct Rumours {
+pub struct Gossip {
     settings: Settings,
     held: BTreeMap<u64, Held>,
     /// State of the pauses' chance.
     chance: u64,
 }
 
-impl Rumours {
+impl Gossip {
     /// None yet.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Rumours { settings, held: BTreeMap::new(), chance: seed | 1 }
+        Gossip { settings, held: BTreeMap::new(), chance: seed | 1 }
     }
 
     fn pause(&mut self) -> u64 {
@@ -114,7 +114,7 @@
             held.heard = held.heard.filter(|_| held.rumour.up_since_ms > up_since_ms);
             return;
         }
-        let rumour = Rumour { of, up_since_ms, told_ms: now, phase, hops: 0 };
+        let rumour = GossipItem { of, up_since_ms, told_ms: now, phase, hops: 0 };
         let (tells_left, ends) = (self.settings.tells, now + self.settings.trust_ms);
         self.held.insert(of, Held { rumour, heard: None, copies: 0, tells_left, next_tell: now, ends });
     }
@@ -141,7 +141,7 @@
         entries.chunks_exact(ENTRY).filter_map(decode).filter(|rumour| self.take(now, *rumour)).count()
     }
 
-    fn take(&mut self, now: u64, rumour: Rumour) -> bool {
+    fn take(&mut self, now: u64, rumour: GossipItem) -> bool {
         let old = now.saturating_sub(rumour.told_ms) >= self.settings.trust_ms;
         if old || rumour.told_ms > now + AHEAD_MS || rumour.hops > MOST_HOPS {
             return false;
@@ -175,7 +175,8 @@
             }
             held.tells_left -= 1;
             held.next_tell = now + TELL_MS;
-            let told_on = Rumour { hops: held.rumour.hops + u8::from(held.heard.is_some()), ..held.rumour };
+            let told_on =
+                GossipItem { hops: held.rumour.hops + u8::from(held.heard.is_some()), ..held.rumour };
             encode(&told_on, &mut message);
         }
         (message.len() > MAGIC.len()).then_some(message)
@@ -208,7 +209,7 @@
     }
 }
 
-fn encode(r: &Rumour, into: &mut Vec<u8>) {
+fn encode(r: &GossipItem, into: &mut Vec<u8>) {
     into.extend_from_slice(&r.of.to_be_bytes());
     into.extend_from_slice(&r.up_since_ms.to_be_bytes());
     into.extend_from_slice(&r.told_ms.to_be_bytes());
@@ -216,14 +217,14 @@
     into.push(r.hops);
 }
 
-fn decode(bytes: &[u8]) -> Option<Rumour> {
+fn decode(bytes: &[u8]) -> Option<GossipItem> {
     let number = |at: usize| bytes.get(at..at + 8)?.try_into().ok().map(u64::from_be_bytes);
     let phase = match bytes.get(24)? {
         0 => Phase::Draining,
         1 => Phase::Gone,
         _ => return None,
     };
-    Some(Rumour {
+    Some(GossipItem {
         of: number(0)?,
         up_since_ms: number(8)?,
         told_ms: number(16)?,
--- a/crates/mothpier-membership/src/rumour/tests.rs
+++ b/crates/mothpier-membership/src/gossip/tests.rs
@@ -2,8 +2,8 @@
 
 const NOW: u64 = 1_000_000_000;
 
-fn rumours() -> Rumours {
-    Rumours::new(Settings { trust_ms: 10_000, share: 0.25, tells: 3 }, 7)
+fn rumours() -> Gossip {
+    Gossip::new(Settings { trust_ms: 10_000, share: 0.25, tells: 3 }, 7)
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let mut r = rumours();
     let tell = |told_ms, up_since_ms| {
         let mut message = MAGIC.to_vec();
-        encode(&Rumour { of: 5, up_since_ms, told_ms, phase: Phase::Gone, hops: 0 }, &mut message);
+        encode(&GossipItem { of: 5, up_since_ms, told_ms, phase: Phase::Gone, hops: 0 }, &mut message);
         message
     };
     assert_eq!(r.heard(NOW, &tell(NOW - 4_000, 100)), 1);
@@ -89,7 +89,7 @@
 fn what_is_no_rumour_changes_nothing() {
     let mut r = rumours();
     let mut good = MAGIC.to_vec();
-    encode(&Rumour { of: 5, up_since_ms: 0, told_ms: NOW, phase: Phase::Gone, hops: 0 }, &mut good);
+    encode(&GossipItem { of: 5, up_since_ms: 0, told_ms: NOW, phase: Phase::Gone, hops: 0 }, &mut good);
     let (mut phase, mut hops, mut old, mut ahead) = (good.clone(), good.clone(), good.clone(), good.clone());
     phase[4 + 24] = 2;
     hops[4 + 25] = 2;
--- a/crates/mothpier-membership/src/lib.rs
+++ b/crates/mothpier-membership/src/lib.rs
@@ -2,17 +2,17 @@
 //!
 //! The list has the first word on a box that it names, and the last on one that it took away: draining or gone wins for as
 //! long as that word may be trusted. Other sources add boxes that the list does not have, and can only make a node more
-//! careful about those that it has. No source alone empties the view. [`Sources`] has the rule; [`names`] what is held of
-//! DNS, [`rumour`] what nodes tell each other.
+//! careful about those that it has. No source alone empties the view. [`Sources`] has the rule; [`dns_servers`] what is
+//! held of DNS, [`gossip`] what nodes tell each other.
 //!
 //! Times are Unix milliseconds of a clock that never goes back.
 
-pub mod hand;
-pub mod line;
-pub mod names;
-pub mod rumour;
+pub mod admin_drain;
+pub mod dns_servers;
+pub mod gossip;
+pub mod server_record;
 pub mod sources;
 
-pub use line::{Line, Phase};
-pub use names::{NamedBox, Word};
-pub use sources::{Changes, Like, Listed, Settings, Sources, Why};
+pub use dns_servers::{DnsServer, DnsTrust};
+pub use server_record::{Phase, ServerRecord};
+pub use sources::{Changes, ServerReport, ServerTemplate, Settings, Sources, StateReason};
--- a/crates/mothpier-membership/src/line.rs
+++ b/crates/mothpier-membership/src/server_record.rs
@@ -28,7 +28,7 @@
 
 /// A line of the list, or one made of what another source said.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct ServerRecord {
     /// The same at every node.
     pub id: String,
     /// Address and port, as it came.
@@ -47,7 +47,7 @@
     pub phase: Phase,
 }
 
-impl Line {
+impl ServerRecord {
     /// Where it is; what is no address is none. An IPv4 address in the form of IPv6 is the same box.
     pub fn address(&self) -> Option<SocketAddr> {
         self.host_port.parse().ok().map(canonical)
--- a/crates/mothpier-membership/src/sources.rs
+++ b/crates/mothpier-membership/src/sources.rs
@@ -17,9 +17,9 @@
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-use crate::line::{Line, Phase, canonical};
-use crate::names::{Doubt, NamedBox, Names, Word};
-use crate::rumour::{self, Rumours};
+use crate::dns_servers::{DnsServer, DnsServers, DnsTrust, ShrinkGuard};
+use crate::gossip::{self, Gossip};
+use crate::server_record::{Phase, ServerRecord, canonical};
 
 /// Addresses that the list took away and that are remembered.
 const MOST_TOMBS: usize = 4_096;
@@ -28,7 +28,7 @@
 
 /// What a box looks like that only its address is known of.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Like {
+pub struct ServerTemplate {
     /// Zone.
     pub locality: String,
     /// Machine kind.
@@ -43,11 +43,11 @@
     /// How long the list's word that a box is gone counts against other sources, milliseconds.
     pub gone_ms: u64,
     /// When a DNS answer that shrinks is not obeyed at once.
-    pub doubt: Doubt,
+    pub doubt: ShrinkGuard,
     /// Word of mouth between nodes.
-    pub rumours: Option<rumour::Settings>,
+    pub rumours: Option<gossip::Settings>,
     /// What is taken of a box that the list does not name.
-    pub like: Like,
+    pub like: ServerTemplate,
     /// The machine kind of the origin, which is no box.
     pub origin: Option<String>,
     /// Boxes that are always named.
@@ -58,9 +58,9 @@
     fn default() -> Self {
         Settings {
             gone_ms: 600_000,
-            doubt: Doubt::default(),
+            doubt: ShrinkGuard::default(),
             rumours: None,
-            like: Like::default(),
+            like: ServerTemplate::default(),
             origin: None,
             fixed: Vec::new(),
         }
@@ -69,7 +69,7 @@
 
 /// Why a box is in the view as it is, or out of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum StateReason {
     /// The list names it.
     List,
     /// Other nodes say that its process drains or is gone.
@@ -88,25 +88,25 @@
     Standby,
 }
 
-impl Why {
+impl StateReason {
     /// In a word.
     pub fn name(self) -> &'static str {
         match self {
-            Why::List => "list",
-            Why::Rumour => "rumour",
-            Why::Names => "dns",
-            Why::Doubted => "dns-doubted",
-            Why::Fixed => "fixed",
-            Why::LastResort => "last-resort",
-            Why::TakenAway => "taken-away",
-            Why::Standby => "standby",
+            StateReason::List => "list",
+            StateReason::Rumour => "rumour",
+            StateReason::Names => "dns",
+            StateReason::Doubted => "dns-doubted",
+            StateReason::Fixed => "fixed",
+            StateReason::LastResort => "last-resort",
+            StateReason::TakenAway => "taken-away",
+            StateReason::Standby => "standby",
         }
     }
 }
 
 /// A box as people are told of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ServerReport {
     /// Its id.
     pub id: String,
     /// Where it is.
@@ -114,14 +114,14 @@
     /// Whether it takes requests.
     pub phase: Phase,
     /// Why.
-    pub why: Why,
+    pub why: StateReason,
 }
 
 /// What has changed in the view.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
     /// Lines that are new or other than before; those that left are [`Phase::Gone`].
-    pub lines: Vec<Line>,
+    pub lines: Vec<ServerRecord>,
     /// Boxes that have another id now: the old one, the new one. Same address, same process.
     pub renamed: Vec<(String, String)>,
 }
@@ -130,16 +130,16 @@
 #[derive(Clone, Debug)]
 pub struct Sources {
     settings: Settings,
-    list: BTreeMap<String, Line>,
+    list: BTreeMap<String, ServerRecord>,
     /// Whether the list could be reached last.
     list_out: bool,
     /// Addresses that the list took away, and until when that counts.
     tombs: BTreeMap<SocketAddr, u64>,
-    names: Names,
-    rumours: Option<Rumours>,
+    names: DnsServers,
+    rumours: Option<Gossip>,
     fixed_since: u64,
-    shown: BTreeMap<String, Line>,
-    listed: Vec<Listed>,
+    shown: BTreeMap<String, ServerRecord>,
+    listed: Vec<ServerReport>,
 }
 
 impl Sources {
@@ -149,8 +149,8 @@
             list: BTreeMap::new(),
             list_out: false,
             tombs: BTreeMap::new(),
-            names: Names::new(settings.doubt),
-            rumours: settings.rumours.map(|r| Rumours::new(r, seed)),
+            names: DnsServers::new(settings.doubt),
+            rumours: settings.rumours.map(|r| Gossip::new(r, seed)),
             fixed_since: now,
             shown: BTreeMap::new(),
             listed: Vec::new(),
@@ -159,18 +159,19 @@
     }
 
     /// Takes a list, whole or changes only, in the order of the list's own revisions.
-    pub fn list(&mut self, now: u64, whole: bool, lines: Vec<Line>) {
+    pub fn list(&mut self, now: u64, whole: bool, lines: Vec<ServerRecord>) {
         self.list_out = false;
         if whole {
             let named: BTreeSet<&str> = lines.iter().map(|l| l.id.as_str()).collect();
-            let gone: Vec<Line> =
+            let gone: Vec<ServerRecord> =
                 self.list.values().filter(|l| !named.contains(l.id.as_str())).cloned().collect();
             for line in gone {
-                self.line(now, whole, Line { phase: Phase::Gone, ..line });
+                self.line(now, whole, ServerRecord { phase: Phase::Gone, ..line });
             }
         }
         // What goes before what comes: a new box at the address of one that has gone stays.
-        let (gone, here): (Vec<Line>, Vec<Line>) = lines.into_iter().partition(|l| l.phase == Phase::Gone);
+        let (gone, here): (Vec<ServerRecord>, Vec<ServerRecord>) =
+            lines.into_iter().partition(|l| l.phase == Phase::Gone);
         gone.into_iter().chain(here).for_each(|line| self.line(now, whole, line));
         while self.tombs.len() > MOST_TOMBS {
             let first = self.tombs.iter().min_by_key(|(_, until)| **until).map(|(at, _)| *at);
@@ -178,9 +179,9 @@
         }
     }
 
-    fn line(&mut self, now: u64, whole: bool, line: Line) {
+    fn line(&mut self, now: u64, whole: bool, line: ServerRecord) {
         let before = self.list.remove(&line.id);
-        let (was_at, is_at) = (before.as_ref().and_then(Line::address), line.address());
+        let (was_at, is_at) = (before.as_ref().and_then(ServerRecord::address), line.address());
         let origin = self.is_origin(&line);
         if line.phase == Phase::Gone {
             let others = |at: &SocketAddr| self.list.values().any(|l| l.address() == Some(*at));
@@ -216,10 +217,10 @@
         self.list_out = true;
     }
 
-    /// Takes what DNS says as of now: [`Names::heard`].
-    pub fn names(&mut self, now: u64, word: Word, named: &[NamedBox], all: bool, answers: u64) {
-        let named: Vec<NamedBox> =
-            named.iter().map(|n| NamedBox { address: canonical(n.address), ..*n }).collect();
+    /// Takes what DNS says as of now: [`DnsServers::heard`].
+    pub fn names(&mut self, now: u64, word: DnsTrust, named: &[DnsServer], all: bool, answers: u64) {
+        let named: Vec<DnsServer> =
+            named.iter().map(|n| DnsServer { address: canonical(n.address), ..*n }).collect();
         self.names.heard(now, word, &named, all, answers);
     }
 
@@ -228,7 +229,7 @@
         if let Some(rumours) = &mut self.rumours {
             rumours.heard(now, bytes);
         }
-        Rumours::is_message(bytes)
+        Gossip::is_message(bytes)
     }
 
     /// What is to be told to all other nodes now.
@@ -240,11 +241,11 @@
     pub fn due(&self, now: u64) -> Option<u64> {
         let rumours = self.rumours.as_ref();
         let tomb = self.tombs.values().copied().filter(|until| *until > now).min();
-        let times = [rumours.and_then(Rumours::due), rumours.and_then(|r| r.ends(now)), tomb];
+        let times = [rumours.and_then(Gossip::due), rumours.and_then(|r| r.ends(now)), tomb];
         times.into_iter().flatten().min()
     }
 
-    fn is_origin(&self, line: &Line) -> bool {
+    fn is_origin(&self, line: &ServerRecord) -> bool {
         self.settings.origin.as_ref().is_some_and(|o| *o == line.flavor)
     }
 
@@ -255,7 +256,7 @@
         let mut changes = Changes::default();
         for (id, line) in &self.shown {
             if !view.contains_key(id) {
-                changes.lines.push(Line { phase: Phase::Gone, ..line.clone() });
+                changes.lines.push(ServerRecord { phase: Phase::Gone, ..line.clone() });
                 let at = line.address();
                 let new = view.values().find(|l| at.is_some() && l.address() == at);
                 if let Some(new) = new.filter(|l| !self.shown.contains_key(&l.id) && id.starts_with(MADE)) {
@@ -269,12 +270,12 @@
     }
 
     /// The whole view as it was last given.
-    pub fn shown(&self) -> impl Iterator<Item = &Line> {
+    pub fn shown(&self) -> impl Iterator<Item = &ServerRecord> {
         self.shown.values()
     }
 
-    fn view(&mut self, now: u64) -> BTreeMap<String, Line> {
-        let mut view: BTreeMap<String, Line> = BTreeMap::new();
+    fn view(&mut self, now: u64) -> BTreeMap<String, ServerRecord> {
+        let mut view: BTreeMap<String, ServerRecord> = BTreeMap::new();
         self.listed.clear();
         let hushed = self.hushed(now);
         let mut covered = BTreeMap::new();
@@ -285,34 +286,34 @@
                 let ready = covered.entry(at).or_insert(false);
                 *ready |= phase == Phase::Ready;
             }
-            let why = if rumour { Why::Rumour } else { Why::List };
-            self.listed.push(Listed { id: line.id.clone(), at: line.host_port.clone(), phase, why });
-            view.insert(line.id.clone(), Line { phase, ..line.clone() });
+            let why = if rumour { StateReason::Rumour } else { StateReason::List };
+            self.listed.push(ServerReport { id: line.id.clone(), at: line.host_port.clone(), phase, why });
+            view.insert(line.id.clone(), ServerRecord { phase, ..line.clone() });
         }
         let first = self.first_priority(&covered);
         let mean = self.mean_weight(first);
         let boxes = self.names.boxes().map(|(named, since, doubted)| {
-            let why = if doubted { Why::Doubted } else { Why::Names };
+            let why = if doubted { StateReason::Doubted } else { StateReason::Names };
             (named, since, why)
         });
         let fixed = self.settings.fixed.iter().map(|at| canonical(*at)).filter(|at| !self.names.has(*at));
         let fixed = fixed.map(|address| {
-            let named = NamedBox { address, priority: first.unwrap_or(0), weight: mean as u16 };
-            (named, self.fixed_since, Why::Fixed)
+            let named = DnsServer { address, priority: first.unwrap_or(0), weight: mean as u16 };
+            (named, self.fixed_since, StateReason::Fixed)
         });
         for (named, since, why) in boxes.chain(fixed) {
             if covered.contains_key(&named.address) {
                 continue;
             }
             let out = if self.tombs.contains_key(&named.address) {
-                Some(Why::TakenAway)
+                Some(StateReason::TakenAway)
             } else {
-                (Some(named.priority) != first).then_some(Why::Standby)
+                (Some(named.priority) != first).then_some(StateReason::Standby)
             };
             let line = self.made(&named, since, mean);
             let (at, phase) =
                 (line.host_port.clone(), if out.is_some() { Phase::Gone } else { Phase::Ready });
-            self.listed.push(Listed { id: line.id.clone(), at, phase, why: out.unwrap_or(why) });
+            self.listed.push(ServerReport { id: line.id.clone(), at, phase, why: out.unwrap_or(why) });
             if out.is_none() {
                 view.insert(line.id.clone(), line);
             }
@@ -321,10 +322,10 @@
             // What was holds, unless the list has spoken of it.
             let free = |at: SocketAddr| !covered.contains_key(&at) && !self.tombs.contains_key(&at);
             let was = self.shown.values().filter(|l| l.id.starts_with(MADE) && l.phase == Phase::Ready);
-            let last: Vec<Line> = was.filter(|l| l.address().is_some_and(free)).cloned().collect();
+            let last: Vec<ServerRecord> = was.filter(|l| l.address().is_some_and(free)).cloned().collect();
             for line in last {
                 let (id, at) = (line.id.clone(), line.host_port.clone());
-                self.listed.push(Listed { id, at, phase: Phase::Ready, why: Why::LastResort });
+                self.listed.push(ServerReport { id, at, phase: Phase::Ready, why: StateReason::LastResort });
                 view.insert(line.id.clone(), line);
             }
         }
@@ -337,10 +338,11 @@
         let (Some(rumours), Some(settings)) = (&self.rumours, &self.settings.rumours) else {
             return BTreeSet::new();
         };
-        let ready: Vec<&Line> =
+        let ready: Vec<&ServerRecord> =
             self.list.values().filter(|l| l.phase == Phase::Ready && !self.is_origin(l)).collect();
         let most = ((ready.len() as f64 * settings.share) as usize).max(1).min(ready.len().saturating_sub(1));
-        let said = |l: &&Line| Some((Reverse(rumours.of(now, l.hash(), l.up_since_ms)?), l.id.clone()));
+        let said =
+            |l: &&ServerRecord| Some((Reverse(rumours.of(now, l.hash(), l.up_since_ms)?), l.id.clone()));
         let mut said: Vec<(Reverse<u64>, String)> = ready.iter().filter_map(said).collect();
         said.sort();
         said.into_iter().take(most).map(|(_, id)| id).collect()
@@ -348,7 +350,7 @@
 
     /// The priority of the boxes that DNS wants used: the lowest that has one which may be.
     fn first_priority(&self, covered: &BTreeMap<SocketAddr, bool>) -> Option<u16> {
-        let usable = |n: &NamedBox| match covered.get(&n.address) {
+        let usable = |n: &DnsServer| match covered.get(&n.address) {
             Some(ready) => *ready,
             None => !self.tombs.contains_key(&n.address),
         };
@@ -363,10 +365,10 @@
     }
 
     /// The line of a box that the list does not name. Its id is made of its address: the same at every node.
-    fn made(&self, named: &NamedBox, since: u64, mean: f32) -> Line {
-        let Like { locality, flavor, cell } = self.settings.like.clone();
+    fn made(&self, named: &DnsServer, since: u64, mean: f32) -> ServerRecord {
+        let ServerTemplate { locality, flavor, cell } = self.settings.like.clone();
         let weight = if named.weight == 0 && mean <= 1.0 { 1.0 } else { f32::from(named.weight) / mean };
-        Line {
+        ServerRecord {
             id: format!("{MADE}{}", named.address),
             host_port: named.address.to_string(),
             locality,
@@ -379,7 +381,7 @@
     }
 
     /// For each box why it is in or out, as of the last [`Sources::changes`].
-    pub fn listed(&self) -> &[Listed] {
+    pub fn listed(&self) -> &[ServerReport] {
         &self.listed
     }
 
@@ -393,10 +395,10 @@
             self.names.boxes().count(),
             self.names.doubted(),
             self.settings.fixed.len(),
-            self.rumours.as_ref().map_or(0, Rumours::len),
+            self.rumours.as_ref().map_or(0, Gossip::len),
             self.tombs.len(),
         );
-        for Listed { id, at, phase, why } in &self.listed {
+        for ServerReport { id, at, phase, why } in &self.listed {
             let _ = write!(text, "box:{id},{at},{},{}\r\n", phase.name(), why.name());
         }
         text
--- a/crates/mothpier-names/src/lib.rs
+++ b/crates/mothpier-names/src/lib.rs
@@ -1,7 +1,7 @@
 //! DNS SRV records as a source of boxes, without I/O.
 //!
-//! [`Resolver`] is a state machine: it says what to ask which server and when ([`Ask`]), is told what came, and gives a
-//! [`View`] of the service. Sockets, time and chance are the caller's. Times are milliseconds of a monotonic clock.
+//! [`Resolver`] is a state machine: it says what to ask which server and when ([`Query`]), is told what came, and gives a
+//! [`ServiceView`] of the service. Sockets, time and chance are the caller's. Times are milliseconds of a monotonic clock.
 //!
 //! Sources: RFC 1035 (messages), RFC 2181 sections 5.2 and 8 (lifetimes of a set, and those with the highest bit), RFC
 //! 2308 (negative answers), RFC 2782 (SRV), RFC 5452 (answers that can be forged), RFC 6891 (EDNS), RFC 7766 (TCP), RFC
@@ -19,4 +19,6 @@
 pub use hickory_proto::rr::Name;
 pub use lifetime::Lifetimes;
 pub use question::{Kind, Match, Question};
-pub use resolver::{Ask, BadSettings, Counts, Failure, MOST_OUT, Resolver, Settings, Transport, View};
+pub use resolver::{
+    BadSettings, Counts, Failure, MAX_OUTSTANDING, Query, Resolver, ServiceView, Settings, Transport,
+};
--- a/crates/mothpier-names/src/resolver.rs
+++ b/crates/mothpier-names/src/resolver.rs
@@ -11,7 +11,7 @@
 use hickory_proto::rr::Name;
 use hickory_proto::rr::rdata::SRV;
 use ipnet::IpNet;
-use mothpier_membership::{NamedBox, Word};
+use mothpier_membership::{DnsServer, DnsTrust};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -29,7 +29,7 @@
 /// Nodes that begin together spread their first asking over so much for each of them, milliseconds, and this at most.
 const SPREAD: (u64, u64) = (25, 2_000);
 /// Askings that are out at one time: each holds a descriptor of the caller's.
-pub const MOST_OUT: usize = 8;
+pub const MAX_OUTSTANDING: usize = 8;
 /// An asking whose caller has said nothing so long after its wait has failed, milliseconds.
 const LOST: u64 = 500;
 
@@ -90,7 +90,7 @@
 
 /// Something to be asked now. The caller says once how it ended: [`Resolver::heard`] or [`Resolver::failed`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct Query {
     /// Names it.
     pub ticket: u64,
     /// Whom.
@@ -125,11 +125,11 @@
 
 /// What is known of the service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct ServiceView {
     /// How far it may be trusted.
-    pub word: Word,
+    pub word: DnsTrust,
     /// The boxes, each once, in order.
-    pub named: Vec<NamedBox>,
+    pub named: Vec<DnsServer>,
     /// Hosts whose addresses are not known yet: the boxes are not all.
     pub pending: usize,
     /// Counts the answers of the service itself: a change in it is a further look, not the same one again.
@@ -276,7 +276,7 @@
     }
 
     /// What is to be asked now.
-    pub fn asks(&mut self, now: u64) -> Vec<Ask> {
+    pub fn asks(&mut self, now: u64) -> Vec<Query> {
         let lost: Vec<u64> = self
             .entries
             .values()
@@ -306,10 +306,10 @@
 
     /// How many askings may be out.
     fn most_out(&self) -> usize {
-        if self.servers.any_well() { MOST_OUT } else { 1 }
+        if self.servers.any_well() { MAX_OUTSTANDING } else { 1 }
     }
 
-    fn ask(&mut self, now: u64, key: Key) -> Option<Ask> {
+    fn ask(&mut self, now: u64, key: Key) -> Option<Query> {
         let entry = self.entries.get_mut(&key)?;
         let (server, transport) = match entry.over_tcp.take() {
             Some(server) => (server, Transport::Tcp),
@@ -339,7 +339,7 @@
         self.tickets.insert(ticket, key);
         self.counts.asked += 1;
         self.counts.tcp += u64::from(transport == Transport::Tcp);
-        Some(Ask { ticket, server: at, transport, question, bytes, wait })
+        Some(Query { ticket, server: at, transport, question, bytes, wait })
     }
 
     /// An answer came, whole. One that is not this question's is for the caller to pass over; given here all the same, it
@@ -496,14 +496,14 @@
     }
 
     /// What is known as of now.
-    pub fn view(&mut self, now: u64) -> View {
+    pub fn view(&mut self, now: u64) -> ServiceView {
         let service = &self.entries[&self.service()];
         let word = match &service.held {
-            None => Word::Unknown,
-            Some(held) if now >= held.stale_until => Word::Silent,
-            Some(Held { what: What::Nothing, .. }) => Word::Nothing,
-            Some(held) if now >= held.until => Word::Stale,
-            Some(_) => Word::Fresh,
+            None => DnsTrust::Unknown,
+            Some(held) if now >= held.stale_until => DnsTrust::Silent,
+            Some(Held { what: What::Nothing, .. }) => DnsTrust::Nothing,
+            Some(held) if now >= held.until => DnsTrust::Stale,
+            Some(_) => DnsTrust::Fresh,
         };
         let records: &[SRV] = match service.usable(now) {
             Some(What::Boxes(records)) => records,
@@ -523,7 +523,7 @@
                                 outside += 1;
                                 continue;
                             }
-                            let named = NamedBox {
+                            let named = DnsServer {
                                 address: SocketAddr::new(ip, r.port),
                                 priority: r.priority,
                                 weight: r.weight,
@@ -542,7 +542,7 @@
             pending += usize::from(open && !any);
         }
         self.counts.outside = outside;
-        View { word, named: at.into_values().collect(), pending, answers: self.answers }
+        ServiceView { word, named: at.into_values().collect(), pending, answers: self.answers }
     }
 
     /// When to come back at the latest.
--- a/crates/mothpier-names/tests/resolver.rs
+++ b/crates/mothpier-names/tests/resolver.rs
@@ -2,11 +2,11 @@
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
+use hickory_proto::op::{Message, MessageType, OpCode, Query as DnsQuery, ResponseCode};
 use hickory_proto::rr::rdata::{A, CNAME, SOA, SRV};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
-use mothpier_membership::Word;
-use mothpier_names::{Ask, Failure, Kind, Lifetimes, Match, Resolver, Settings, Transport};
+use mothpier_membership::DnsTrust;
+use mothpier_names::{Failure, Kind, Lifetimes, Match, Query, Resolver, Settings, Transport};
 use proptest::prelude::*;
 
 const NOW: u64 = 5_000_000;
@@ -35,7 +35,7 @@
 }
 
 /// An answer to what was asked, as a server makes it.
-fn reply(ask: &Ask, make: impl FnOnce(&mut Message)) -> Vec<u8> {
+fn reply(ask: &Query, make: impl FnOnce(&mut Message)) -> Vec<u8> {
     let asked = Message::from_vec(&ask.bytes).unwrap();
     let mut message = Message::new(asked.metadata.id, MessageType::Response, OpCode::Query);
     message.add_queries(asked.queries.iter().cloned());
@@ -66,7 +66,7 @@
     message.add_additionals([a("pb1.example.org.", 1, 30), a("pb2.example.org.", 2, 30)]);
 }
 
-fn one(r: &mut Resolver, now: u64) -> Ask {
+fn one(r: &mut Resolver, now: u64) -> Query {
     let mut asks = r.asks(now);
     assert_eq!(asks.len(), 1, "{asks:?}");
     asks.remove(0)
@@ -81,13 +81,13 @@
 #[test]
 fn a_service_with_its_addresses_beside_takes_one_question_and_is_asked_for_ahead_of_its_end() {
     let mut r = resolver();
-    assert_eq!(r.view(NOW).word, Word::Unknown);
+    assert_eq!(r.view(NOW).word, DnsTrust::Unknown);
     let ask = one(&mut r, NOW);
     assert_eq!((ask.transport, ask.question.kind), (Transport::Udp, Kind::Srv));
     assert!(r.asks(NOW).is_empty(), "no second question while one is out");
     r.heard(NOW + 5, ask.ticket, &reply(&ask, both));
     let view = r.view(NOW + 5);
-    assert_eq!((view.word, view.pending, view.answers), (Word::Fresh, 0, 1));
+    assert_eq!((view.word, view.pending, view.answers), (DnsTrust::Fresh, 0, 1));
     assert_eq!(hosts(&mut r, NOW + 5), BOTH);
     // The least lifetime of the set counts: 20 s, and it is asked for between seven and nine tenths of it.
     let due = r.due(NOW + 5);
@@ -195,10 +195,10 @@
     }
     // Three names, two servers, rests of up to 30 s for each: not much more than one question in four seconds.
     assert!((10..=40).contains(&asked), "{asked}");
-    assert_eq!(r.view(NOW + 19_999).word, Word::Fresh);
-    assert_eq!(r.view(NOW + 20_000).word, Word::Stale);
+    assert_eq!(r.view(NOW + 19_999).word, DnsTrust::Fresh);
+    assert_eq!(r.view(NOW + 20_000).word, DnsTrust::Stale);
     assert_eq!(r.view(NOW + 119_999).named.len(), 2);
-    assert_eq!((r.view(NOW + 120_000).word, r.view(NOW + 120_000).named.len()), (Word::Silent, 0));
+    assert_eq!((r.view(NOW + 120_000).word, r.view(NOW + 120_000).named.len()), (DnsTrust::Silent, 0));
     assert!(r.trouble().is_some_and(|t| t.contains("example.org")));
 }
 
@@ -288,7 +288,7 @@
         let ask = one(&mut r, NOW);
         r.heard(NOW, ask.ticket, &reply(&ask, make));
         let view = r.view(NOW);
-        assert_eq!((view.word, view.named.len(), view.pending, view.answers), (Word::Nothing, 0, 0, 1));
+        assert_eq!((view.word, view.named.len(), view.pending, view.answers), (DnsTrust::Nothing, 0, 0, 1));
         let due = r.due(NOW) - NOW;
         assert!((counts * 7 / 10..=counts).contains(&due), "{counts}: {due}");
     }
@@ -366,7 +366,7 @@
         );
     }
     assert_eq!(asked, 9, "eight links, and the question that finds one too many");
-    assert_eq!(r.view(NOW).word, Word::Unknown);
+    assert_eq!(r.view(NOW).word, DnsTrust::Unknown);
 }
 
 #[test]
@@ -379,7 +379,7 @@
         change(&mut message);
         message.to_vec().unwrap()
     };
-    let other = |name: &str, kind| Query::query(Name::from_ascii(name).unwrap(), kind);
+    let other = |name: &str, kind| DnsQuery::query(Name::from_ascii(name).unwrap(), kind);
     for not in [
         with(&|m| m.metadata.id = m.metadata.id.wrapping_add(1)),
         with(&|m| m.metadata.message_type = MessageType::Query),
@@ -456,7 +456,7 @@
     let mut r = resolver();
     let ask = one(&mut r, NOW);
     r.heard(NOW, ask.ticket, &reply(&ask, many(520)));
-    assert_eq!((r.view(NOW).word, r.len()), (Word::Unknown, 1));
+    assert_eq!((r.view(NOW).word, r.len()), (DnsTrust::Unknown, 1));
     assert!(r.trouble().unwrap().contains("1040 records; 1024 are taken at the most"));
 }
 
@@ -506,7 +506,7 @@
     let again = one(&mut r, NOW + 1_500);
     assert_ne!(again.server, ask.server);
     r.heard(NOW + 1_600, ask.ticket, &reply(&ask, both));
-    assert_eq!(r.view(NOW + 1_600).word, Word::Unknown, "its ticket is over");
+    assert_eq!(r.view(NOW + 1_600).word, DnsTrust::Unknown, "its ticket is over");
 }
 
 /// The longest name that there is: 255 bytes on the wire. A longer one is none.
--- a/crates/mothpier-net/src/lib.rs
+++ b/crates/mothpier-net/src/lib.rs
@@ -25,8 +25,8 @@
 pub use inherited::inherited;
 pub use limits::open_files;
 pub use signals::{Signal, Signals};
-pub use tokio_net::{Door, Duplex, DuplexReading, DuplexWriting, Tokio};
-pub use unix::UnixPlace;
+pub use tokio_net::{AnyListener, AnyReadHalf, AnyStream, AnyWriteHalf, Tokio};
+pub use unix::UnixSocketSpec;
 
 /// A machine: where sockets, time and tasks come from.
 pub trait Net: Clone + 'static {
@@ -43,11 +43,11 @@
     fn now(&self) -> Instant;
 
     /// Time since the Unix epoch.
-    fn wall(&self) -> Duration;
+    fn unix_time(&self) -> Duration;
 
     /// Time since some fixed moment, on a clock that nobody sets and that also counts while the machine is suspended: for
     /// what must not be believed longer than it is true.
-    fn awake(&self) -> Duration;
+    fn boot_time(&self) -> Duration;
 
     /// Ends at a time, at once where it has passed.
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()>;
@@ -65,13 +65,13 @@
     fn listen(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
 
     /// Opens a listener in the file system. Machines without one have none.
-    fn listen_unix(&self, at: &UnixPlace) -> impl Future<Output = io::Result<Self::Listener>> {
+    fn listen_unix(&self, at: &UnixSocketSpec) -> impl Future<Output = io::Result<Self::Listener>> {
         let _ = at;
         async { Err(io::ErrorKind::Unsupported.into()) }
     }
 
     /// Takes over a listener that the platform opened. Machines without a platform have none.
-    fn adopt(&self, listener: std::net::TcpListener) -> io::Result<Self::Listener> {
+    fn adopt_listener(&self, listener: std::net::TcpListener) -> io::Result<Self::Listener> {
         let _ = listener;
         Err(io::ErrorKind::Unsupported.into())
     }
@@ -129,12 +129,12 @@
 /// A TCP connection. Dropping it closes it.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
     /// The half that reads.
-    type Reading: Reading;
+    type ReadHalf: ReadHalf;
     /// The half that writes.
-    type Writing: AsyncWrite + Unpin + 'static;
+    type WriteHalf: AsyncWrite + Unpin + 'static;
 
     /// Parts the connection in two; it closes when both are dropped.
-    fn split(self) -> (Self::Reading, Self::Writing);
+    fn split(self) -> (Self::ReadHalf, Self::WriteHalf);
 
     /// Sends small writes at once.
     fn set_nodelay(&self);
@@ -144,7 +144,7 @@
 }
 
 /// The half of a connection that reads.
-pub trait Reading: 'static {
+pub trait ReadHalf: 'static {
     /// Ends when there is something to read, or the end.
     fn readable(&self) -> impl Future<Output = io::Result<()>>;
 
@@ -154,7 +154,7 @@
     /// Whether the other end is known to have closed, also where what it sent before is still unread.
     fn closed(&self) -> bool;
 
-    /// Whether the other end has closed as of now: asked of the machine, where [`Reading::closed`] knows what was heard of
+    /// Whether the other end has closed as of now: asked of the machine, where [`ReadHalf::closed`] knows what was heard of
     /// it last.
     fn hung_up(&self) -> bool {
         self.closed()
--- a/crates/mothpier-net/src/tokio_net.rs
+++ b/crates/mothpier-net/src/tokio_net.rs
@@ -17,16 +17,16 @@
 use tokio::task::AbortHandle;
 
 use crate::stream_io;
-use crate::unix::{Bound, UnixPlace, bind};
-use crate::{Listener, Net, Reading, Socket, Stream, Task};
+use crate::unix::{Bound, UnixSocketSpec, bind};
+use crate::{Listener, Net, ReadHalf, Socket, Stream, Task};
 
 /// The machine that the program runs on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tokio;
 
 impl Net for Tokio {
-    type Stream = Duplex;
-    type Listener = Door;
+    type Stream = AnyStream;
+    type Listener = AnyListener;
     type Socket = UdpSocket;
     type Task = AbortHandle;
 
@@ -34,11 +34,11 @@
         Instant::now()
     }
 
-    fn wall(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
     }
 
-    fn awake(&self) -> Duration {
+    fn boot_time(&self) -> Duration {
         let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
         Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
     }
@@ -55,25 +55,25 @@
         tokio::task::spawn_local(task).abort_handle()
     }
 
-    async fn connect(&self, to: SocketAddr) -> io::Result<Duplex> {
-        TcpStream::connect(to).await.map(Duplex::Tcp)
+    async fn connect(&self, to: SocketAddr) -> io::Result<AnyStream> {
+        TcpStream::connect(to).await.map(AnyStream::Tcp)
     }
 
-    async fn listen(&self, at: SocketAddr) -> io::Result<Door> {
-        TcpListener::bind(at).await.map(Door::Tcp)
+    async fn listen(&self, at: SocketAddr) -> io::Result<AnyListener> {
+        TcpListener::bind(at).await.map(AnyListener::Tcp)
     }
 
-    async fn listen_unix(&self, at: &UnixPlace) -> io::Result<Door> {
-        bind(at).map(Door::Unix)
+    async fn listen_unix(&self, at: &UnixSocketSpec) -> io::Result<AnyListener> {
+        bind(at).map(AnyListener::Unix)
     }
 
     fn socket(&self, at: SocketAddr) -> impl Future<Output = io::Result<UdpSocket>> {
         UdpSocket::bind(at)
     }
 
-    fn adopt(&self, listener: std::net::TcpListener) -> io::Result<Door> {
+    fn adopt_listener(&self, listener: std::net::TcpListener) -> io::Result<AnyListener> {
         listener.set_nonblocking(true)?;
-        TcpListener::from_std(listener).map(Door::Tcp)
+        TcpListener::from_std(listener).map(AnyListener::Tcp)
     }
 
     async fn shared_socket(&self, at: SocketAddr) -> io::Result<UdpSocket> {
@@ -96,7 +96,7 @@
 }
 
 /// A connection over TCP or a Unix socket.
-pub enum Duplex {
+pub enum AnyStream {
     /// Over TCP.
     Tcp(TcpStream),
     /// Within this machine.
@@ -104,7 +104,7 @@
 }
 
 /// The half of it that reads.
-pub enum DuplexReading {
+pub enum AnyReadHalf {
     /// Over TCP.
     Tcp(tcp::OwnedReadHalf),
     /// Within this machine.
@@ -112,7 +112,7 @@
 }
 
 /// The half of it that writes.
-pub enum DuplexWriting {
+pub enum AnyWriteHalf {
     /// Over TCP.
     Tcp(tcp::OwnedWriteHalf),
     /// Within this machine.
@@ -120,7 +120,7 @@
 }
 
 /// Where connections come in.
-pub enum Door {
+pub enum AnyListener {
     /// Over TCP.
     Tcp(TcpListener),
     /// Within this machine.
@@ -137,9 +137,9 @@
     };
 }
 
-impl AsyncRead for Duplex {
+impl AsyncRead for AnyStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        either!(Duplex, self.get_mut(), s => stream_io::poll_read(s, cx, to))
+        either!(AnyStream, self.get_mut(), s => stream_io::poll_read(s, cx, to))
     }
 }
 
@@ -174,48 +174,48 @@
     };
 }
 
-writes!(Duplex, s => &*s);
-writes!(DuplexWriting, s => s.as_ref());
+writes!(AnyStream, s => &*s);
+writes!(AnyWriteHalf, s => s.as_ref());
 
-impl Stream for Duplex {
-    type Reading = DuplexReading;
-    type Writing = DuplexWriting;
+impl Stream for AnyStream {
+    type ReadHalf = AnyReadHalf;
+    type WriteHalf = AnyWriteHalf;
 
-    fn split(self) -> (DuplexReading, DuplexWriting) {
+    fn split(self) -> (AnyReadHalf, AnyWriteHalf) {
         match self {
-            Duplex::Tcp(s) => {
+            AnyStream::Tcp(s) => {
                 let (reading, writing) = s.into_split();
-                (DuplexReading::Tcp(reading), DuplexWriting::Tcp(writing))
+                (AnyReadHalf::Tcp(reading), AnyWriteHalf::Tcp(writing))
             }
-            Duplex::Unix(s) => {
+            AnyStream::Unix(s) => {
                 let (reading, writing) = s.into_split();
-                (DuplexReading::Unix(reading), DuplexWriting::Unix(writing))
+                (AnyReadHalf::Unix(reading), AnyWriteHalf::Unix(writing))
             }
         }
     }
 
     fn set_nodelay(&self) {
-        if let Duplex::Tcp(s) = self {
+        if let AnyStream::Tcp(s) = self {
             let _ = s.set_nodelay(true);
         }
     }
 
     fn reset(self) {
         // A linger of no time makes the close a reset; within a machine there are none.
-        if let Duplex::Tcp(s) = self {
+        if let AnyStream::Tcp(s) = self {
             let _ = s.set_zero_linger();
         }
     }
 }
 
-impl Reading for DuplexReading {
+impl ReadHalf for AnyReadHalf {
     async fn readable(&self) -> io::Result<()> {
-        either!(DuplexReading, self, s => s.readable().await)
+        either!(AnyReadHalf, self, s => s.readable().await)
     }
 
     fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize> {
         loop {
-            match either!(DuplexReading, self, s => s.try_read_buf(buffer)) {
+            match either!(AnyReadHalf, self, s => s.try_read_buf(buffer)) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 read => return read,
             }
@@ -224,14 +224,14 @@
 
     fn closed(&self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
-        let polled = either!(DuplexReading, self, s => pin!(s.ready(Interest::READABLE)).poll(&mut cx));
+        let polled = either!(AnyReadHalf, self, s => pin!(s.ready(Interest::READABLE)).poll(&mut cx));
         matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
     fn hung_up(&self) -> bool {
         const AT_ONCE: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
         let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        let socket = either!(DuplexReading, self, s => PollFd::from_borrowed_fd(s.as_ref().as_fd(), gone));
+        let socket = either!(AnyReadHalf, self, s => PollFd::from_borrowed_fd(s.as_ref().as_fd(), gone));
         let mut sockets = [socket];
         match poll(&mut sockets, Some(&AT_ONCE)) {
             Ok(_) => sockets[0].revents().intersects(gone),
@@ -241,24 +241,24 @@
     }
 }
 
-impl Listener for Door {
-    type Stream = Duplex;
+impl Listener for AnyListener {
+    type Stream = AnyStream;
 
-    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(Duplex, SocketAddr)>> {
+    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(AnyStream, SocketAddr)>> {
         match self {
-            Door::Tcp(door) => door.poll_accept(cx).map_ok(|(s, from)| (Duplex::Tcp(s), from)),
+            AnyListener::Tcp(door) => door.poll_accept(cx).map_ok(|(s, from)| (AnyStream::Tcp(s), from)),
             // Who connects there has no address.
-            Door::Unix(door) => {
+            AnyListener::Unix(door) => {
                 let nobody = SocketAddr::from(([0, 0, 0, 0], 0));
-                door.listener.poll_accept(cx).map_ok(|(s, _)| (Duplex::Unix(s), nobody))
+                door.listener.poll_accept(cx).map_ok(|(s, _)| (AnyStream::Unix(s), nobody))
             }
         }
     }
 
     fn local_addr(&self) -> io::Result<SocketAddr> {
         match self {
-            Door::Tcp(door) => door.local_addr(),
-            Door::Unix(_) => Err(io::ErrorKind::Unsupported.into()),
+            AnyListener::Tcp(door) => door.local_addr(),
+            AnyListener::Unix(_) => Err(io::ErrorKind::Unsupported.into()),
         }
     }
 }
--- a/crates/mothpier-net/src/unix.rs
+++ b/crates/mothpier-net/src/unix.rs
@@ -10,7 +10,7 @@
 
 /// A place in the file system, and who may connect there.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct UnixPlace {
+pub struct UnixSocketSpec {
     /// Its absolute path.
     pub path: PathBuf,
     /// Its mode, as 0660.
@@ -38,7 +38,7 @@
 }
 
 /// Binds a place. What a node that died left there is replaced; what somebody listens at, or what is no socket, is not.
-pub fn bind(at: &UnixPlace) -> io::Result<Bound> {
+pub fn bind(at: &UnixSocketSpec) -> io::Result<Bound> {
     match fs::symlink_metadata(&at.path) {
         Ok(there) if !there.file_type().is_socket() => {
             return Err(io::Error::new(ErrorKind::AlreadyExists, "something that is no socket stands there"));
@@ -58,7 +58,7 @@
     bound
 }
 
-fn bind_within(private: &Path, at: &UnixPlace) -> io::Result<Bound> {
+fn bind_within(private: &Path, at: &UnixSocketSpec) -> io::Result<Bound> {
     let first = private.join("s");
     let listener = UnixListener::bind(&first)?;
     if at.owner.is_some() || at.group.is_some() {
--- a/crates/mothpier-net/src/unix/tests.rs
+++ b/crates/mothpier-net/src/unix/tests.rs
@@ -7,8 +7,8 @@
     folder
 }
 
-fn place(path: PathBuf) -> UnixPlace {
-    UnixPlace { path, mode: 0o620, owner: None, group: None }
+fn place(path: PathBuf) -> UnixSocketSpec {
+    UnixSocketSpec { path, mode: 0o620, owner: None, group: None }
 }
 
 #[tokio::test]
--- a/crates/mothpier-sim/src/cold_ramp/fleet.rs
+++ b/crates/mothpier-sim/src/cold_ramp/fleet.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use brassrouter::{
-    Action, Condition, Event, Key, ListKind, Load, Micros, Note, Outcome, Policy, Request, RequestId,
-    ServerId, ServerLine, Settings, Status,
+    Action, CacheLookup, Condition, Event, Key, ListKind, Load, Micros, Outcome, Policy, Request, RequestId,
+    ServerEntry, ServerId, Settings, Status,
 };
 use mothpier_world::Dice;
 
@@ -201,7 +201,7 @@
     }
 
     fn policy(&self, node: usize, life: u32) -> Policy {
-        let mut settings = Settings { me: node as u32, ..self.scenario.settings.clone() };
+        let mut settings = Settings { own_index: node as u32, ..self.scenario.settings.clone() };
         match self.twin {
             Some(Twin::IgnoresRamp) => settings.cold_share = 1.0,
             Some(Twin::HalfIgnoreRamp) if node.is_multiple_of(2) => settings.cold_share = 1.0,
@@ -251,18 +251,18 @@
         }
     }
 
-    fn line(&self, id: ServerId) -> Option<ServerLine> {
+    fn line(&self, id: ServerId) -> Option<ServerEntry> {
         let kind = self.scenario.machines[id as usize].kind;
-        let long_ago = ServerLine { id, kind, ..ServerLine::default() };
+        let long_ago = ServerEntry { id, kind, ..ServerEntry::default() };
         if id != self.scenario.cold {
             return Some(long_ago);
         }
         let started = [0, self.scenario.starts_at];
-        self.process().map(|p| ServerLine { started: started[p as usize], ..long_ago })
+        self.process().map(|p| ServerEntry { started: started[p as usize], ..long_ago })
     }
 
     fn whole_list(&self) -> Event {
-        let origin = ServerLine { id: ORIGIN, kind: ORIGIN_KIND, ..ServerLine::default() };
+        let origin = ServerEntry { id: ORIGIN, kind: ORIGIN_KIND, ..ServerEntry::default() };
         let all = 0..self.scenario.machines.len() as ServerId;
         let servers = all.filter_map(|id| self.line(id)).chain([origin]).collect();
         Event::ServerList { kind: ListKind::Full, servers }
@@ -270,7 +270,7 @@
 
     fn told(&mut self, node: usize) {
         let cold = self.scenario.cold;
-        let gone = || ServerLine { id: cold, condition: Condition::Gone, ..ServerLine::default() };
+        let gone = || ServerEntry { id: cold, condition: Condition::Gone, ..ServerEntry::default() };
         let line = self.line(cold).unwrap_or_else(gone);
         self.nodes[node].told = line.started > 0;
         self.gives(node, Event::ServerList { kind: ListKind::Delta, servers: vec![line] });
@@ -303,7 +303,7 @@
                 young,
                 deaf: self.scenario.deaf[node],
                 loss: self.scenario.loss,
-                may_tell: self.scenario.settings.may_tell_peers,
+                may_tell: self.scenario.settings.may_message_peers,
             });
         }
     }
@@ -373,7 +373,7 @@
                 let life = self.nodes[node].life;
                 self.after(after.max(1), Happening::Timer { node, life });
             }
-            Action::Tell { to, bytes } => self.tells(node, to, &bytes),
+            Action::SendToPeer { to, bytes } => self.tells(node, to, &bytes),
             _ => {}
         }
     }
@@ -494,9 +494,9 @@
             attempt: call.attempt,
             server: call.server,
             status,
-            over: !open || served,
-            note: Note::None,
-            took: self.now - call.sent,
+            request_finished: !open || served,
+            lookup: CacheLookup::None,
+            elapsed: self.now - call.sent,
             load: Load { count: u8::from(call.server != ORIGIN), values: [busy, 0.0, 0.0, 0.0] },
         };
         self.gives(call.node, Event::Outcome(outcome));
--- a/crates/mothpier-sim/src/cold_ramp/scenario.rs
+++ b/crates/mothpier-sim/src/cold_ramp/scenario.rs
@@ -3,8 +3,8 @@
 use std::ops::Range;
 
 use brassrouter::{
-    Action, Class, Effect, Event, Key, ListKind, Load, LoadField, Micros, Note, Outcome, Policy, Request,
-    ServerId, ServerLine, Settings, Status, Tenant,
+    Action, CacheLookup, Class, Effect, Event, Key, ListKind, Load, LoadField, Micros, Outcome, Policy,
+    Request, ServerEntry, ServerId, Settings, Status, Tenant,
 };
 use mothpier_world::Dice;
 
@@ -160,9 +160,14 @@
 }
 
 fn settings(dice: &Dice, nodes: usize, capacity: f64) -> Settings {
-    let read = Class { aim: 750 * MS, deadline: 1_500 * MS, worth: 2.0, ..Class::default() };
-    let write =
-        Class { aim: 300 * MS, deadline: SECOND, worth: 8.0, effect: Effect::Unsafe, ..Class::default() };
+    let read = Class { target_latency: 750 * MS, deadline: 1_500 * MS, worth: 2.0, ..Class::default() };
+    let write = Class {
+        target_latency: 300 * MS,
+        deadline: SECOND,
+        worth: 8.0,
+        effect: Effect::Unsafe,
+        ..Class::default()
+    };
     let quota = capacity * dice.between(0.7, 0.95);
     Settings {
         balancers: nodes as u32,
@@ -172,7 +177,7 @@
         load_fields: vec![LoadField::Busy],
         may_duplicate: dice.chance(0.7),
         may_cancel: true,
-        may_tell_peers: dice.chance(0.8),
+        may_message_peers: dice.chance(0.8),
         tick: 5 * MS,
         cold_share: dice.between(0.12, 0.36),
         warm_up: dice.within(12 * SECOND, 21 * SECOND),
@@ -230,7 +235,7 @@
 impl FirstServers {
     fn of(settings: &Settings, servers: usize) -> Self {
         let mut policy = Policy::new(Settings { tenants: Vec::new(), ..settings.clone() }, 1);
-        let line = |id| ServerLine { id, ..ServerLine::default() };
+        let line = |id| ServerEntry { id, ..ServerEntry::default() };
         let servers = (0..servers as ServerId).map(line).collect();
         policy.handle(EPOCH, Event::ServerList { kind: ListKind::Full, servers }, &mut Vec::new());
         FirstServers { policy, now: EPOCH }
@@ -250,9 +255,9 @@
             attempt: 0,
             server,
             status: Status::Served,
-            over: true,
-            note: Note::None,
-            took: MS,
+            request_finished: true,
+            lookup: CacheLookup::None,
+            elapsed: MS,
             load: Load::default(),
         };
         self.policy.handle(self.now, Event::Outcome(outcome), &mut Vec::new());
--- a/crates/mothpier-sim/src/main.rs
+++ b/crates/mothpier-sim/src/main.rs
@@ -30,7 +30,7 @@
 use std::thread;
 
 use clap::{Args, Parser, Subcommand};
-use mothpier::Plant;
+use mothpier::Mutation;
 
 use many::Job;
 use shrink::{Kept, plant_name, plant_named};
@@ -72,7 +72,7 @@
         jobs: Option<usize>,
         /// Plants a mistake in the nodes.
         #[arg(long, value_name = "NAME", value_parser = plant_named)]
-        plant: Option<Plant>,
+        plant: Option<Mutation>,
         /// Keeps the run in a file; the same command goes on from there after a stop.
         #[arg(long, value_name = "FILE")]
         state: Option<PathBuf>,
@@ -116,7 +116,7 @@
         trace: bool,
         /// Plants a mistake in the nodes.
         #[arg(long, value_name = "NAME", value_parser = plant_named)]
-        plant: Option<Plant>,
+        plant: Option<Mutation>,
     },
     /// Plays every planted mistake until it is found: in seeds first, then in the directed cases.
     Plants {
@@ -130,7 +130,7 @@
         name: Option<String>,
         /// Plants a mistake in the nodes.
         #[arg(long, value_name = "NAME", value_parser = plant_named)]
-        plant: Option<Plant>,
+        plant: Option<Mutation>,
         /// Prints the trace of one run of each, by its number from 0.
         #[arg(long, value_name = "RUN")]
         trace: Option<usize>,
@@ -141,7 +141,7 @@
         run: String,
         /// Plants a mistake in the nodes.
         #[arg(long, value_name = "NAME", value_parser = plant_named)]
-        plant: Option<Plant>,
+        plant: Option<Mutation>,
         /// Writes the run there, not to standard output.
         #[arg(long, short, value_name = "FILE")]
         output: Option<PathBuf>,
@@ -229,7 +229,7 @@
     if range.is_empty() { Err(format!("{text:?} holds no seed")) } else { Ok(range) }
 }
 
-fn kept(run: &str, plant: Option<Plant>) -> Result<Kept, String> {
+fn kept(run: &str, plant: Option<Mutation>) -> Result<Kept, String> {
     let kept = match run.parse() {
         Ok(seed) => Kept { seed, ..Kept::default() },
         Err(_) => Kept::read(run.as_ref())?,
@@ -315,7 +315,7 @@
 fn run(
     seeds: Range<u64>,
     jobs: Option<usize>,
-    plant: Option<Plant>,
+    plant: Option<Mutation>,
     state: Option<PathBuf>,
     quiet: bool,
 ) -> Result<bool, String> {
@@ -486,7 +486,7 @@
     Ok(broken == 0)
 }
 
-fn replay(run: &str, trace: bool, plant: Option<Plant>) -> Result<bool, String> {
+fn replay(run: &str, trace: bool, plant: Option<Mutation>) -> Result<bool, String> {
     let kept = kept(run, plant)?;
     let report = play::play(kept.seed, &play::Options { lines: trace, ..kept.options() });
     for line in &report.lines {
@@ -507,7 +507,7 @@
 
 fn plants(most: u64) -> Result<bool, String> {
     let mut all = true;
-    for plant in Plant::ALL {
+    for plant in Mutation::ALL {
         let name = plant_name(plant);
         let job = Job {
             seeds: (0, most),
@@ -536,7 +536,7 @@
     Ok(all)
 }
 
-fn scenarios(name: Option<&str>, plant: Option<Plant>, trace: Option<usize>) -> Result<bool, String> {
+fn scenarios(name: Option<&str>, plant: Option<Mutation>, trace: Option<usize>) -> Result<bool, String> {
     let wanted: Vec<_> = scenarios::all().filter(|s| name.is_none_or(|n| s.name.contains(n))).collect();
     if wanted.is_empty() {
         let names: Vec<&str> = scenarios::all().map(|s| s.name).collect();
@@ -563,7 +563,7 @@
     Ok(good == wanted.len())
 }
 
-fn shrink(run: &str, plant: Option<Plant>, output: Option<PathBuf>) -> Result<bool, String> {
+fn shrink(run: &str, plant: Option<Mutation>, output: Option<PathBuf>) -> Result<bool, String> {
     let start = kept(run, plant)?;
     let Some((least, rule, runs)) = shrink::shrink(&start) else {
         say("no rule broken: nothing to cut down\n");
--- a/crates/mothpier-sim/src/many.rs
+++ b/crates/mothpier-sim/src/many.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use mothpier::Plant;
+use mothpier::Mutation;
 
 use crate::oracle::{Broken, Tally};
 use crate::plan::{Kind, overlaps};
@@ -21,7 +21,7 @@
     /// Threads.
     pub jobs: usize,
     /// A mistake planted in the nodes.
-    pub plant: Option<Plant>,
+    pub plant: Option<Mutation>,
     /// Stops at the first broken rule.
     pub first: bool,
     /// Where the run is kept, to go on from.
--- a/crates/mothpier-sim/src/net.rs
+++ b/crates/mothpier-sim/src/net.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Buf, BytesMut};
-use mothpier_net::{Listener, Net, Reading, Socket, Stream};
+use mothpier_net::{Listener, Net, ReadHalf, Socket, Stream};
 use mothpier_world::Dice;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
@@ -427,11 +427,11 @@
         self.network.exec.now()
     }
 
-    fn awake(&self) -> Duration {
+    fn boot_time(&self) -> Duration {
         Duration::from_nanos(self.network.exec.nanos())
     }
 
-    fn wall(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         EPOCH + Duration::from_nanos(self.network.exec.nanos())
     }
 
@@ -675,8 +675,8 @@
 }
 
 impl Stream for SimStream {
-    type Reading = SimReading;
-    type Writing = SimWriting;
+    type ReadHalf = SimReading;
+    type WriteHalf = SimWriting;
 
     fn split(mut self) -> (SimReading, SimWriting) {
         let half = self.half.take().expect("a stream is split once");
@@ -703,7 +703,7 @@
     }
 }
 
-impl Reading for SimReading {
+impl ReadHalf for SimReading {
     fn readable(&self) -> impl Future<Output = io::Result<()>> {
         poll_fn(|cx| self.0.poll_readable(cx))
     }
--- a/crates/mothpier-sim/src/play/checks.rs
+++ b/crates/mothpier-sim/src/play/checks.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use mothpier::config::RefreshBudget;
-use mothpier::{Call, Census, Control};
-use mothpier_membership::rumour;
+use mothpier::{Call, Control, ResourceCounts};
+use mothpier_membership::gossip;
 use mothpier_world::client::{Ask, End};
 use tokio::sync::oneshot;
 
@@ -122,7 +122,7 @@
 
     /// Rumours have come to an end.
     fn check_rumours(&self) {
-        let told = self.network.posted.borrow().get(&rumour::MAGIC).copied().unwrap_or_default();
+        let told = self.network.posted.borrow().get(&gossip::MAGIC).copied().unwrap_or_default();
         if self.settings.beside.rumours() && told.1 + RUMOURS_OVER_MS > self.exec.millis() {
             let what = format!(
                 "{} rumours were told, the last {} ms before the end",
@@ -156,14 +156,14 @@
     /// A node keeps nothing of the requests that it has answered.
     fn check_leaks(&self, i: usize) {
         let members = self.boxes.borrow().len() + usize::from(self.settings.boxes != Boxes::Through);
-        let (ask, told) = oneshot::channel::<Census>();
-        self.tell(i, Control::Census(ask));
+        let (ask, told) = oneshot::channel::<ResourceCounts>();
+        self.tell(i, Control::ResourceCounts(ask));
         let (oracle, host) = (self.oracle.clone(), self.nodes.borrow()[i].host);
         self.on(host, async move {
             let Ok(c) = told.await else {
                 return oracle.breaks(Rule::Progress, format!("node {i} answers no more"));
             };
-            let quiet = Census { servers: c.servers, pools: c.pools, ..Census::default() };
+            let quiet = ResourceCounts { servers: c.servers, pools: c.pools, ..ResourceCounts::default() };
             if c != quiet || c.servers != members || c.pools > members {
                 oracle.breaks(Rule::Leak, format!("node {i} keeps {c:?} after quiet"));
             }
--- a/crates/mothpier-sim/src/play/mod.rs
+++ b/crates/mothpier-sim/src/play/mod.rs
@@ -53,14 +53,14 @@
 
 /// Plays a seed.
 pub fn play(seed: u64, options: &Options) -> Report {
-    mothpier::plant(options.plant);
+    mothpier::activate_mutation(options.plant);
     let faults = options
         .faults
         .clone()
         .unwrap_or_else(|| crate::plan::draw(seed, options.kind(seed), options.sources(seed)));
     let exec = Exec::new(seed, options.lines);
     let ran = catch_unwind(AssertUnwindSafe(|| run(seed, options, &faults, &exec)));
-    mothpier::plant(None);
+    mothpier::activate_mutation(None);
     let (oracle_says, tally) = match ran {
         Ok((broken, tally)) => (broken, tally),
         Err(panic) => {
--- a/crates/mothpier-sim/src/play/node_config.rs
+++ b/crates/mothpier-sim/src/play/node_config.rs
@@ -3,8 +3,8 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use mothpier::config;
-use mothpier_membership::names::Doubt;
-use mothpier_membership::{Like, Settings, rumour};
+use mothpier_membership::dns_servers::ShrinkGuard;
+use mothpier_membership::{ServerTemplate, Settings, gossip};
 
 use super::world::{BoxState, CLASSES, World, address};
 use crate::oracle::Care;
@@ -106,12 +106,12 @@
         if beside == Beside::Nothing && self.settings.newcomer_ms.is_none() {
             return None;
         }
-        let rumours = rumour::Settings { trust_ms: 20_000, ..rumour::Settings::default() };
+        let rumours = gossip::Settings { trust_ms: 20_000, ..gossip::Settings::default() };
         let membership = Settings {
             gone_ms: 60_000,
-            doubt: Doubt { hold_ms: 3_000, ..Doubt::default() },
+            doubt: ShrinkGuard { hold_ms: 3_000, ..ShrinkGuard::default() },
             rumours: beside.rumours().then_some(rumours),
-            like: Like { locality: "a".into(), flavor: "m".into(), cell: 0 },
+            like: ServerTemplate { locality: "a".into(), flavor: "m".into(), cell: 0 },
             origin: Some("origin".into()),
             fixed: Vec::new(),
         };
--- a/crates/mothpier-sim/src/play/options.rs
+++ b/crates/mothpier-sim/src/play/options.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use mothpier::Plant;
+use mothpier::Mutation;
 
 use super::World;
 use crate::plan::{Beside, Boxes, Fault};
@@ -13,7 +13,7 @@
     /// Faults in place of the seed's.
     pub faults: Option<Vec<Fault>>,
     /// A mistake planted in the nodes.
-    pub plant: Option<Plant>,
+    pub plant: Option<Mutation>,
     /// Keeps the trace's lines.
     pub lines: bool,
     /// Nodes, boxes.
--- a/crates/mothpier-sim/src/scenarios.rs
+++ b/crates/mothpier-sim/src/scenarios.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mothpier::Plant;
+use mothpier::Mutation;
 use mothpier_world::client::{Ask, End};
 
 use crate::plan::Fault;
@@ -24,7 +24,7 @@
 
 impl Scenario {
     /// Plays it, with a mistake planted or none; the error names the run and the rule, or what was missing.
-    pub fn play(&self, plant: Option<Plant>) -> Result<Vec<Report>, String> {
+    pub fn play(&self, plant: Option<Mutation>) -> Result<Vec<Report>, String> {
         let mut reports = Vec::new();
         for (number, (seed, options)) in (self.runs)().into_iter().enumerate() {
             let report = crate::play::play(seed, &Options { plant, ..options });
--- a/crates/mothpier-sim/src/shrink.rs
+++ b/crates/mothpier-sim/src/shrink.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use mothpier::Plant;
+use mothpier::Mutation;
 
 use crate::oracle::Rule;
 use crate::plan::{Beside, Boxes, Fault};
@@ -15,7 +15,7 @@
     /// The seed.
     pub seed: u64,
     /// The mistake planted in the nodes.
-    pub plant: Option<Plant>,
+    pub plant: Option<Mutation>,
     /// What its boxes are; drawn from the seed where that is not told.
     pub boxes: Option<Boxes>,
     /// Which sources of boxes its nodes have beside the list; drawn likewise.
@@ -29,15 +29,15 @@
 /// # Errors
 ///
 /// A name that there is not, with those that there are.
-pub fn plant_named(name: &str) -> Result<Plant, String> {
-    Plant::ALL.into_iter().find(|p| plant_name(*p) == name).ok_or_else(|| {
-        let names: Vec<String> = Plant::ALL.iter().map(|p| plant_name(*p)).collect();
+pub fn plant_named(name: &str) -> Result<Mutation, String> {
+    Mutation::ALL.into_iter().find(|p| plant_name(*p) == name).ok_or_else(|| {
+        let names: Vec<String> = Mutation::ALL.iter().map(|p| plant_name(*p)).collect();
         format!("{name:?} is no planted mistake; there are {}", names.join(", "))
     })
 }
 
 /// A plant's name: its words in small letters.
-pub fn plant_name(plant: Plant) -> String {
+pub fn plant_name(plant: Mutation) -> String {
     let mut name = String::new();
     for c in format!("{plant:?}").chars() {
         if c.is_ascii_uppercase() && !name.is_empty() {
--- a/crates/mothpier-sim/src/shrink/tests.rs
+++ b/crates/mothpier-sim/src/shrink/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_kept_run_is_read_as_it_was_written_and_bad_lines_are_named() {
-    for plant in Plant::ALL {
+    for plant in Mutation::ALL {
         let (boxes, beside) = (Boxes::Through, Beside::Both);
         let faults = crate::plan::draw(7, boxes, beside);
         let (boxes, beside) = (Some(boxes), Some(beside));
--- a/crates/mothpier-slots/examples/lookup.rs
+++ b/crates/mothpier-slots/examples/lookup.rs
@@ -7,7 +7,7 @@
 use mothpier_slots::redirect::place;
 use mothpier_slots::slot_of;
 use mothpier_slots::table::Table;
-use mothpier_slots::view::{Range, Seat, View};
+use mothpier_slots::view::{ClusterMember, Range, View};
 
 const ROUNDS: u32 = 2_000_000;
 
@@ -23,7 +23,7 @@
     let listed = |address: SocketAddr| Some(u32::from(address.port()) + address.ip().is_ipv4() as u32);
     // 89 boxes with a thousand ranges, as after many reshuffles.
     let range = |n: u16| {
-        let seat = Seat { places: place(&at(n).to_string()).into_iter().collect(), alias: None };
+        let seat = ClusterMember { places: place(&at(n).to_string()).into_iter().collect(), alias: None };
         Range { first: n * 16, last: n * 16 + 15, owner: seat, copies: Vec::new() }
     };
     let view = View { epoch: 1, ranges: (0..1_024).map(range).collect() };
--- a/crates/mothpier-slots/src/pool.rs
+++ b/crates/mothpier-slots/src/pool.rs
@@ -4,24 +4,24 @@
 
 use std::net::SocketAddr;
 
-use crate::redirect::{self, Nonsense, NotNow, Said};
-use crate::refresh::{Budget, Done, Millis, Refresh};
-use crate::table::{BoxId, Heard, Held, Listed, Merged, Table};
+use crate::redirect::{self, ClusterError, RedirectError, UnavailableReason};
+use crate::refresh::{Budget, Millis, Refresh, RoundResult};
+use crate::table::{Merged, ServerId, ServerLookup, ServerView, SlotAssignment, Table};
 
 /// What an error line of a box means for the request that it answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ErrorMeaning {
     /// It did not run; another box is named.
     Redirected {
         /// The box, where the list has one at the address named.
-        to: Option<BoxId>,
+        to: Option<ServerId>,
         /// Only behind `ASKING`, and only this once.
         ask: bool,
     },
     /// It did not run, and nothing else is named.
-    TurnedAway(NotNow),
+    TurnedAway(UnavailableReason),
     /// It begins as a redirection and is none: it may have run.
-    Unreadable(Nonsense),
+    Unreadable(RedirectError),
     /// It is a redirection of another slot than the request's: it may have run.
     OtherSlot(u16),
 }
@@ -47,34 +47,36 @@
         line: &str,
         slot: Option<u16>,
         from: SocketAddr,
-        listed: Listed<'_>,
-    ) -> Option<Word> {
+        listed: ServerLookup<'_>,
+    ) -> Option<ErrorMeaning> {
         Some(match redirect::read(line)? {
-            Err(nonsense) => Word::Unreadable(nonsense),
-            Ok(Said::NotNow(why)) => {
+            Err(nonsense) => ErrorMeaning::Unreadable(nonsense),
+            Ok(ClusterError::NotNow(why)) => {
                 if why.doubts_the_map() {
                     self.refresh.sign(now);
                 }
-                Word::TurnedAway(why)
+                ErrorMeaning::TurnedAway(why)
             }
-            Ok(Said::Redirect(r)) if slot.is_some_and(|slot| slot != r.slot) => Word::OtherSlot(r.slot),
-            Ok(Said::Redirect(r)) => {
+            Ok(ClusterError::Redirect(r)) if slot.is_some_and(|slot| slot != r.slot) => {
+                ErrorMeaning::OtherSlot(r.slot)
+            }
+            Ok(ClusterError::Redirect(r)) => {
                 // A slot on its way is in no map yet: the map is not old for it.
                 if !r.ask {
                     self.refresh.sign(now);
                 }
-                Word::Redirected { to: self.table.address(&r.to, from).and_then(listed), ask: r.ask }
+                ErrorMeaning::Redirected { to: self.table.address(&r.to, from).and_then(listed), ask: r.ask }
             }
         })
     }
 
     /// A box that a `MOVED` named took the command: the slot is its. Gives what changed.
-    pub fn moved(&mut self, slot: u16, to: BoxId) -> Option<Held> {
+    pub fn moved(&mut self, slot: u16, to: ServerId) -> Option<SlotAssignment> {
         self.table.moved(slot, to)
     }
 
     /// The list has changed: the boxes of the map are looked up again. Whether there is a map at all.
-    pub fn relist(&mut self, listed: Listed<'_>) -> bool {
+    pub fn relist(&mut self, listed: ServerLookup<'_>) -> bool {
         let known = !self.table.is_empty();
         if known {
             self.table.relist(listed);
@@ -83,7 +85,7 @@
     }
 
     /// The whole table.
-    pub fn ranges(&self) -> Vec<Held> {
+    pub fn ranges(&self) -> Vec<SlotAssignment> {
         self.table.ranges()
     }
 
@@ -93,7 +95,7 @@
     }
 
     /// Begins the round that is due: the boxes to ask.
-    pub fn begin(&mut self, now: Millis, ready: &[BoxId]) -> Vec<BoxId> {
+    pub fn begin(&mut self, now: Millis, ready: &[ServerId]) -> Vec<ServerId> {
         self.refresh.begin(now, ready, self.table.mark())
     }
 
@@ -102,11 +104,11 @@
     pub fn answered(
         &mut self,
         now: Millis,
-        from: BoxId,
-        heard: Option<Heard>,
-        listed: Listed<'_>,
+        from: ServerId,
+        heard: Option<ServerView>,
+        listed: ServerLookup<'_>,
     ) -> Option<Merged> {
-        let Done { heard, mark } = self.refresh.answered(now, from, heard)?;
+        let RoundResult { heard, mark } = self.refresh.answered(now, from, heard)?;
         Some(self.table.merge(heard, mark, listed))
     }
 }
--- a/crates/mothpier-slots/src/redirect.rs
+++ b/crates/mothpier-slots/src/redirect.rs
@@ -14,7 +14,7 @@
 
 /// Where a box says that something is. The port is never 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Endpoint {
     /// The host.
     pub host: Host,
     /// The port; `None` for the one that the box itself was reached at.
@@ -32,7 +32,7 @@
     Name(String),
 }
 
-impl Place {
+impl Endpoint {
     /// The address, seen from the box that named it. `named` knows the addresses of names.
     pub fn address(&self, from: SocketAddr, named: &dyn Fn(&str) -> Option<IpAddr>) -> Option<SocketAddr> {
         let ip = match &self.host {
@@ -52,21 +52,21 @@
     /// The slot.
     pub slot: u16,
     /// The other box.
-    pub to: Place,
+    pub to: Endpoint,
 }
 
 /// What an error line of a cluster's box says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum ClusterError {
     /// Another box is to be asked.
     Redirect(Redirect),
     /// It did not run the command: its own state forbids it.
-    NotNow(NotNow),
+    NotNow(UnavailableReason),
 }
 
 /// Why a box turns a command away unseen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotNow {
+pub enum UnavailableReason {
     /// Keys of one command lie on both sides of a slot's move.
     TryAgain,
     /// Its cluster does not serve the slot.
@@ -79,16 +79,19 @@
     ReadOnly,
 }
 
-impl NotNow {
+impl UnavailableReason {
     /// Whether the slot map may be old: the box is not what the map has it for.
     pub fn doubts_the_map(self) -> bool {
-        matches!(self, NotNow::ClusterDown | NotNow::MasterDown | NotNow::ReadOnly)
+        matches!(
+            self,
+            UnavailableReason::ClusterDown | UnavailableReason::MasterDown | UnavailableReason::ReadOnly
+        )
     }
 }
 
 /// Why a line that begins as a redirection is none. It proves nothing: the command may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Nonsense {
+pub enum RedirectError {
     /// It has other than three words.
     Words,
     /// The slot is no number below 16,384.
@@ -99,13 +102,13 @@
     Host,
 }
 
-impl fmt::Display for Nonsense {
+impl fmt::Display for RedirectError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Nonsense::Words => "it does not have the form KIND SLOT HOST:PORT",
-            Nonsense::Slot => "its slot is no number from 0 to 16383",
-            Nonsense::Port => "its port is no number from 1 to 65535",
-            Nonsense::Host => "its host is neither an address nor a name",
+            RedirectError::Words => "it does not have the form KIND SLOT HOST:PORT",
+            RedirectError::Slot => "its slot is no number from 0 to 16383",
+            RedirectError::Port => "its port is no number from 1 to 65535",
+            RedirectError::Host => "its host is neither an address nor a name",
         })
     }
 }
@@ -115,29 +118,29 @@
 /// # Errors
 ///
 /// What makes a redirection unreadable.
-pub fn read(line: &str) -> Option<Result<Said, Nonsense>> {
+pub fn read(line: &str) -> Option<Result<ClusterError, RedirectError>> {
     let kind = line.split(' ').next()?;
     let not_now = match kind {
-        "MOVED" | "ASK" => return Some(redirect(line, kind == "ASK").map(Said::Redirect)),
-        "TRYAGAIN" => NotNow::TryAgain,
-        "CLUSTERDOWN" => NotNow::ClusterDown,
-        "LOADING" => NotNow::Loading,
-        "MASTERDOWN" => NotNow::MasterDown,
-        "READONLY" => NotNow::ReadOnly,
+        "MOVED" | "ASK" => return Some(redirect(line, kind == "ASK").map(ClusterError::Redirect)),
+        "TRYAGAIN" => UnavailableReason::TryAgain,
+        "CLUSTERDOWN" => UnavailableReason::ClusterDown,
+        "LOADING" => UnavailableReason::Loading,
+        "MASTERDOWN" => UnavailableReason::MasterDown,
+        "READONLY" => UnavailableReason::ReadOnly,
         _ => return None,
     };
-    Some(Ok(Said::NotNow(not_now)))
+    Some(Ok(ClusterError::NotNow(not_now)))
 }
 
-fn redirect(line: &str, ask: bool) -> Result<Redirect, Nonsense> {
+fn redirect(line: &str, ask: bool) -> Result<Redirect, RedirectError> {
     let words: Vec<&str> = line.split(' ').take(5).collect();
     // An empty host may leave nothing at all of the third word.
     let (slot, to) = match words.as_slice() {
         [_, slot] => (slot, ""),
         [_, slot, to] => (slot, *to),
-        _ => return Err(Nonsense::Words),
+        _ => return Err(RedirectError::Words),
     };
-    let slot = number(slot).filter(|s| *s < SLOTS).ok_or(Nonsense::Slot)?;
+    let slot = number(slot).filter(|s| *s < SLOTS).ok_or(RedirectError::Slot)?;
     Ok(Redirect { ask, slot, to: place(to)? })
 }
 
@@ -146,14 +149,14 @@
 /// # Errors
 ///
 /// What makes it unreadable.
-pub fn place(text: &str) -> Result<Place, Nonsense> {
+pub fn place(text: &str) -> Result<Endpoint, RedirectError> {
     if text.is_empty() {
-        return Ok(Place { host: Host::Same, port: None });
+        return Ok(Endpoint { host: Host::Same, port: None });
     }
     // The last colon: an IPv6 address stands without brackets, as servers write it.
-    let (host, port) = text.rsplit_once(':').ok_or(Nonsense::Port)?;
-    let port = number(port).filter(|p| *p > 0).ok_or(Nonsense::Port)?;
-    Ok(Place { host: self::host(host)?, port: Some(port) })
+    let (host, port) = text.rsplit_once(':').ok_or(RedirectError::Port)?;
+    let port = number(port).filter(|p| *p > 0).ok_or(RedirectError::Port)?;
+    Ok(Endpoint { host: self::host(host)?, port: Some(port) })
 }
 
 /// Reads a host: empty, an address with or without brackets, or a name.
@@ -161,14 +164,18 @@
 /// # Errors
 ///
 /// What is none of them; also `?`, by which a box says that it does not know.
-pub fn host(text: &str) -> Result<Host, Nonsense> {
+pub fn host(text: &str) -> Result<Host, RedirectError> {
     if text.is_empty() {
         return Ok(Host::Same);
     }
     let bare = text.strip_prefix('[').and_then(|t| t.strip_suffix(']')).unwrap_or(text);
     if let Ok(ip) = bare.parse::<IpAddr>() {
         // Nobody can be reached there.
-        return if ip.is_unspecified() { Err(Nonsense::Host) } else { Ok(Host::Address(ip.to_canonical())) };
+        return if ip.is_unspecified() {
+            Err(RedirectError::Host)
+        } else {
+            Ok(Host::Address(ip.to_canonical()))
+        };
     }
     let label = |l: &str| {
         !l.is_empty()
@@ -179,7 +186,7 @@
     // What is all digits and dots would be an address, and is not one.
     let numeric = name.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     if name.len() > MOST_NAME || numeric || !name.split('.').all(label) {
-        return Err(Nonsense::Host);
+        return Err(RedirectError::Host);
     }
     Ok(Host::Name(name.to_ascii_lowercase()))
 }
--- a/crates/mothpier-slots/src/redirect/tests.rs
+++ b/crates/mothpier-slots/src/redirect/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn moved(line: &str) -> Result<Redirect, Nonsense> {
+fn moved(line: &str) -> Result<Redirect, RedirectError> {
     match read(line) {
-        Some(Ok(Said::Redirect(r))) => Ok(r),
+        Some(Ok(ClusterError::Redirect(r))) => Ok(r),
         Some(Err(e)) => Err(e),
         other => panic!("{line}: {other:?}"),
     }
@@ -33,40 +33,40 @@
 #[test]
 fn nonsense_is_told_apart_by_its_cause() {
     for (line, cause) in [
-        ("MOVED", Nonsense::Words),
-        ("MOVED 1 a:1 b:2", Nonsense::Words),
-        ("MOVED 16384 10.0.0.1:1", Nonsense::Slot),
-        ("MOVED 99999999999 10.0.0.1:1", Nonsense::Slot),
-        ("MOVED -1 10.0.0.1:1", Nonsense::Slot),
-        ("MOVED +1 10.0.0.1:1", Nonsense::Slot),
-        ("MOVED  10.0.0.1:1", Nonsense::Slot),
-        ("ASK 1 10.0.0.1:0", Nonsense::Port),
-        ("ASK 1 10.0.0.1:70000", Nonsense::Port),
-        ("ASK 1 10.0.0.1:", Nonsense::Port),
-        ("ASK 1 10.0.0.1", Nonsense::Port),
-        ("ASK 1 ?:6379", Nonsense::Host),
-        ("ASK 1 0.0.0.0:6379", Nonsense::Host),
-        ("ASK 1 10.0.0.300:6379", Nonsense::Host),
-        ("ASK 1 a..b:6379", Nonsense::Host),
-        ("ASK 1 \u{e9}:6379", Nonsense::Host),
-        ("ASK 1 [::1:6379", Nonsense::Host),
+        ("MOVED", RedirectError::Words),
+        ("MOVED 1 a:1 b:2", RedirectError::Words),
+        ("MOVED 16384 10.0.0.1:1", RedirectError::Slot),
+        ("MOVED 99999999999 10.0.0.1:1", RedirectError::Slot),
+        ("MOVED -1 10.0.0.1:1", RedirectError::Slot),
+        ("MOVED +1 10.0.0.1:1", RedirectError::Slot),
+        ("MOVED  10.0.0.1:1", RedirectError::Slot),
+        ("ASK 1 10.0.0.1:0", RedirectError::Port),
+        ("ASK 1 10.0.0.1:70000", RedirectError::Port),
+        ("ASK 1 10.0.0.1:", RedirectError::Port),
+        ("ASK 1 10.0.0.1", RedirectError::Port),
+        ("ASK 1 ?:6379", RedirectError::Host),
+        ("ASK 1 0.0.0.0:6379", RedirectError::Host),
+        ("ASK 1 10.0.0.300:6379", RedirectError::Host),
+        ("ASK 1 a..b:6379", RedirectError::Host),
+        ("ASK 1 \u{e9}:6379", RedirectError::Host),
+        ("ASK 1 [::1:6379", RedirectError::Host),
     ] {
         assert_eq!(moved(line), Err(cause), "{line}");
     }
     let long = format!("MOVED 1 {}:1", "a.".repeat(500_000));
-    assert_eq!(moved(&long), Err(Nonsense::Host));
+    assert_eq!(moved(&long), Err(RedirectError::Host));
 }
 
 #[test]
 fn other_errors_of_a_cluster_never_ran_and_the_rest_is_not_its_business() {
     for (line, why) in [
-        ("TRYAGAIN Multiple keys request during rehashing of slot", NotNow::TryAgain),
-        ("CLUSTERDOWN Hash slot not served", NotNow::ClusterDown),
-        ("LOADING Redis is loading the dataset in memory", NotNow::Loading),
-        ("MASTERDOWN Link with MASTER is down", NotNow::MasterDown),
-        ("READONLY You can't write against a read only replica.", NotNow::ReadOnly),
+        ("TRYAGAIN Multiple keys request during rehashing of slot", UnavailableReason::TryAgain),
+        ("CLUSTERDOWN Hash slot not served", UnavailableReason::ClusterDown),
+        ("LOADING Redis is loading the dataset in memory", UnavailableReason::Loading),
+        ("MASTERDOWN Link with MASTER is down", UnavailableReason::MasterDown),
+        ("READONLY You can't write against a read only replica.", UnavailableReason::ReadOnly),
     ] {
-        assert_eq!(read(line), Some(Ok(Said::NotNow(why))));
+        assert_eq!(read(line), Some(Ok(ClusterError::NotNow(why))));
     }
     for line in ["", "ERR failed", "BUSY", "moved 1 a:1", "MOVEDX 1 a:1", "ASKING"] {
         assert_eq!(read(line), None, "{line:?}");
--- a/crates/mothpier-slots/src/refresh.rs
+++ b/crates/mothpier-slots/src/refresh.rs
@@ -6,7 +6,7 @@
 //! answered after a time drawn from that whole part, so that nodes that saw it together ask apart. Between rounds the
 //! redirections themselves keep the table right, slot by slot; a round that is late costs a hop, not an answer.
 
-use crate::table::{BoxId, Heard};
+use crate::table::{ServerId, ServerView};
 
 /// Milliseconds of a clock of the node's own.
 pub type Millis = u64;
@@ -46,16 +46,16 @@
 /// A round of questions that is out.
 #[derive(Debug)]
 struct Round {
-    waiting: Vec<BoxId>,
-    heard: Vec<Heard>,
+    waiting: Vec<ServerId>,
+    heard: Vec<ServerView>,
     mark: u64,
 }
 
 /// What a finished round brought.
 #[derive(Debug, PartialEq)]
-pub struct Done {
+pub struct RoundResult {
     /// The answers that could be read.
-    pub heard: Vec<Heard>,
+    pub heard: Vec<ServerView>,
     /// The table's mark as the round began.
     pub mark: u64,
 }
@@ -117,7 +117,7 @@
     }
 
     /// Begins the round that is due: the boxes to ask, drawn from those that the list has ready.
-    pub fn begin(&mut self, now: Millis, ready: &[BoxId], mark: u64) -> Vec<BoxId> {
+    pub fn begin(&mut self, now: Millis, ready: &[ServerId], mark: u64) -> Vec<ServerId> {
         if self.out.is_some() || now < self.due {
             return Vec::new();
         }
@@ -139,7 +139,12 @@
     }
 
     /// The answer of a box that was asked, or none that could be read. Every question ends with one or the other.
-    pub fn answered(&mut self, now: Millis, from: BoxId, heard: Option<Heard>) -> Option<Done> {
+    pub fn answered(
+        &mut self,
+        now: Millis,
+        from: ServerId,
+        heard: Option<ServerView>,
+    ) -> Option<RoundResult> {
         let round = self.out.as_mut()?;
         let at = round.waiting.iter().position(|id| *id == from)?;
         round.waiting.swap_remove(at);
@@ -149,7 +154,7 @@
         }
         let Round { heard, mark, .. } = self.out.take()?;
         self.ended(now, !heard.is_empty());
-        Some(Done { heard, mark })
+        Some(RoundResult { heard, mark })
     }
 
     fn ended(&mut self, now: Millis, good: bool) {
--- a/crates/mothpier-slots/src/refresh/tests.rs
+++ b/crates/mothpier-slots/src/refresh/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::view::View;
 
-fn heard() -> Option<Heard> {
+fn heard() -> Option<ServerView> {
     Some((([10, 0, 0, 1], 1).into(), View::default()))
 }
 
-const READY: [BoxId; 5] = [1, 2, 3, 4, 5];
+const READY: [ServerId; 5] = [1, 2, 3, 4, 5];
 
 /// Plays a tier whose nodes see a sign at every time given, for so long; the times of all questions.
 fn tier(budget: Budget, signs: impl Fn(Millis) -> bool, until: Millis, good: bool) -> Vec<Millis> {
--- a/crates/mothpier-slots/src/table.rs
+++ b/crates/mothpier-slots/src/table.rs
@@ -15,12 +15,12 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-use crate::redirect::Place;
+use crate::redirect::Endpoint;
 use crate::slot::SLOTS;
-use crate::view::{Range, Seat, View};
+use crate::view::{ClusterMember, Range, View};
 
 /// Number of a server in the list, the same at every node.
-pub type BoxId = u32;
+pub type ServerId = u32;
 
 /// So many rounds in a row with an epoch below the one held mean that the cluster began anew.
 pub const BEHIND: u32 = 3;
@@ -28,20 +28,20 @@
 const MOST_ALIASES: usize = 4_096;
 
 /// What a node knows of the list of servers: which one stands at an address.
-pub type Listed<'a> = &'a dyn Fn(SocketAddr) -> Option<BoxId>;
+pub type ServerLookup<'a> = &'a dyn Fn(SocketAddr) -> Option<ServerId>;
 
 /// What a box said, and the address at which it was asked.
-pub type Heard = (SocketAddr, View);
+pub type ServerView = (SocketAddr, View);
 
 /// Slots next to each other that the same boxes hold: the owner first.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct SlotAssignment {
     /// The first slot.
     pub first: u16,
     /// The last slot.
     pub last: u16,
     /// The owner, then those that may be read.
-    pub boxes: Vec<BoxId>,
+    pub boxes: Vec<ServerId>,
 }
 
 /// How a round of answers was taken.
@@ -62,15 +62,15 @@
 pub struct Table {
     epoch: u64,
     /// What the table is made of, for the next change of the list.
-    heard: Vec<Heard>,
+    heard: Vec<ServerView>,
     /// For each slot a place in `homes`.
     slots: Vec<u32>,
     /// All sets of boxes that hold slots; the first is of nobody.
-    homes: Vec<Vec<BoxId>>,
+    homes: Vec<Vec<ServerId>>,
     aliases: BTreeMap<String, IpAddr>,
     behind: u32,
     /// Slots that a redirection moved, with the count of all such moves until then.
-    learnt: BTreeMap<u16, (u64, BoxId)>,
+    learnt: BTreeMap<u16, (u64, ServerId)>,
     moves: u64,
     /// Whether copies may be read.
     copies: bool,
@@ -93,7 +93,7 @@
     }
 
     /// The boxes that hold a slot, its owner first; none where it is uncovered.
-    pub fn home(&self, slot: u16) -> &[BoxId] {
+    pub fn home(&self, slot: u16) -> &[ServerId] {
         self.slots.get(usize::from(slot)).map_or(&[], |at| &self.homes[*at as usize])
     }
 
@@ -103,12 +103,12 @@
     }
 
     /// Where a place leads, seen from the box that named it.
-    pub fn address(&self, place: &Place, from: SocketAddr) -> Option<SocketAddr> {
+    pub fn address(&self, place: &Endpoint, from: SocketAddr) -> Option<SocketAddr> {
         place.address(from, &|name| self.aliases.get(name).copied())
     }
 
     /// Takes a round of answers that began at a mark.
-    pub fn merge(&mut self, heard: Vec<Heard>, mark: u64, listed: Listed<'_>) -> Merged {
+    pub fn merge(&mut self, heard: Vec<ServerView>, mark: u64, listed: ServerLookup<'_>) -> Merged {
         let epoch = heard.iter().map(|(_, view)| view.epoch).max().unwrap_or_default();
         if heard.is_empty() || (epoch < self.epoch && self.behind + 1 < BEHIND) {
             self.behind += u32::from(!heard.is_empty());
@@ -129,12 +129,12 @@
     }
 
     /// Looks all boxes up in the list again, after a change of it.
-    pub fn relist(&mut self, listed: Listed<'_>) -> Merged {
+    pub fn relist(&mut self, listed: ServerLookup<'_>) -> Merged {
         self.build(listed)
     }
 
     /// A redirection proved true: the box that it named took a command for the slot. Gives what changed.
-    pub fn moved(&mut self, slot: u16, to: BoxId) -> Option<Held> {
+    pub fn moved(&mut self, slot: u16, to: ServerId) -> Option<SlotAssignment> {
         if slot >= SLOTS || self.home(slot).first() == Some(&to) {
             return None;
         }
@@ -142,11 +142,11 @@
         self.learnt.insert(slot, (self.moves, to));
         // Its copies are not known: only the owner is told by a redirection.
         self.slots[usize::from(slot)] = self.place(vec![to]);
-        Some(Held { first: slot, last: slot, boxes: vec![to] })
+        Some(SlotAssignment { first: slot, last: slot, boxes: vec![to] })
     }
 
     /// The whole table in ranges, in order; slots that nobody holds are left out.
-    pub fn ranges(&self) -> Vec<Held> {
+    pub fn ranges(&self) -> Vec<SlotAssignment> {
         let mut ranges: Vec<(u16, u16, u32)> = Vec::new();
         for (slot, place) in (0u16..).zip(&self.slots) {
             match ranges.last_mut() {
@@ -155,11 +155,15 @@
             }
         }
         let held = ranges.into_iter().filter(|(.., place)| *place > 0);
-        held.map(|(first, last, place)| Held { first, last, boxes: self.homes[place as usize].clone() })
-            .collect()
+        held.map(|(first, last, place)| SlotAssignment {
+            first,
+            last,
+            boxes: self.homes[place as usize].clone(),
+        })
+        .collect()
     }
 
-    fn place(&mut self, boxes: Vec<BoxId>) -> u32 {
+    fn place(&mut self, boxes: Vec<ServerId>) -> u32 {
         let at = self.homes.iter().position(|h| *h == boxes).unwrap_or_else(|| {
             self.homes.push(boxes);
             self.homes.len() - 1
@@ -167,7 +171,7 @@
         at as u32
     }
 
-    fn build(&mut self, listed: Listed<'_>) -> Merged {
+    fn build(&mut self, listed: ServerLookup<'_>) -> Merged {
         let mut merged = Merged { epoch: self.epoch, ..Merged::default() };
         let before = Table {
             slots: std::mem::take(&mut self.slots),
@@ -203,12 +207,13 @@
     }
 
     /// What one view says of each slot, in numbers of the list.
-    fn claims(&self, from: SocketAddr, view: &View, listed: Listed<'_>) -> Claims {
+    fn claims(&self, from: SocketAddr, view: &View, listed: ServerLookup<'_>) -> Claims {
         let mut claims = Claims { epoch: view.epoch, slots: vec![None; SLOTS.into()], homes: Vec::new() };
-        let find =
-            |seat: &Seat| seat.places.iter().filter_map(|place| self.address(place, from)).find_map(listed);
+        let find = |seat: &ClusterMember| {
+            seat.places.iter().filter_map(|place| self.address(place, from)).find_map(listed)
+        };
         for range in &view.ranges {
-            let mut home: Vec<BoxId> = find(&range.owner).into_iter().collect();
+            let mut home: Vec<ServerId> = find(&range.owner).into_iter().collect();
             if self.copies && !home.is_empty() {
                 for copy in range.copies.iter().filter_map(find) {
                     if !home.contains(&copy) {
@@ -229,16 +234,16 @@
 
 /// Who holds a run of slots.
 struct Settled {
-    home: Vec<BoxId>,
+    home: Vec<ServerId>,
     disputed: bool,
 }
 
 /// Of the views with the highest epoch that say anything of a slot, be it an owner that the list lacks, the owner that
 /// most name; at a tie the one held before, else the lowest number.
-fn settle(claims: &[Claims], slot: usize, before: Option<BoxId>) -> Settled {
+fn settle(claims: &[Claims], slot: usize, before: Option<ServerId>) -> Settled {
     let said = |c: &Claims| c.slots[slot].map(|at| c.homes[at as usize].clone());
     let epoch = claims.iter().filter(|c| c.slots[slot].is_some()).map(|c| c.epoch).max();
-    let mut votes: Vec<(usize, Vec<BoxId>)> = Vec::new();
+    let mut votes: Vec<(usize, Vec<ServerId>)> = Vec::new();
     for home in claims.iter().filter(|c| Some(c.epoch) == epoch).filter_map(said) {
         let Some(owner) = home.first() else { continue };
         match votes.iter_mut().find(|(_, h)| h.first() == Some(owner)) {
@@ -258,7 +263,7 @@
 struct Claims {
     epoch: u64,
     slots: Vec<Option<u32>>,
-    homes: Vec<Vec<BoxId>>,
+    homes: Vec<Vec<ServerId>>,
 }
 
 #[cfg(test)]
--- a/crates/mothpier-slots/src/table/tests.rs
+++ b/crates/mothpier-slots/src/table/tests.rs
@@ -6,12 +6,12 @@
 }
 
 /// The list: boxes 1 to 9 at their addresses.
-fn listed(address: SocketAddr) -> Option<BoxId> {
-    (1..10).find(|n| at(*n) == address).map(BoxId::from)
+fn listed(address: SocketAddr) -> Option<ServerId> {
+    (1..10).find(|n| at(*n) == address).map(ServerId::from)
 }
 
-fn seat(text: &str) -> Seat {
-    Seat { places: vec![place(text).unwrap()], alias: None }
+fn seat(text: &str) -> ClusterMember {
+    ClusterMember { places: vec![place(text).unwrap()], alias: None }
 }
 
 fn view(epoch: u64, ranges: &[(u16, u16, &str)]) -> View {
@@ -67,7 +67,7 @@
     let mut table = Table::new(false);
     table.merge(vec![(at(1), view(1, &[(0, 16_383, ONE)]))], 0, &listed);
     let before = table.mark();
-    assert_eq!(table.moved(7, 2), Some(Held { first: 7, last: 7, boxes: vec![2] }));
+    assert_eq!(table.moved(7, 2), Some(SlotAssignment { first: 7, last: 7, boxes: vec![2] }));
     assert_eq!(table.moved(7, 2), None);
     // A round that began before it knows nothing of it; one that began after it does.
     table.merge(vec![(at(1), view(1, &[(0, 16_383, ONE)]))], before, &listed);
@@ -87,7 +87,7 @@
     let mut three = seat("pb3.example.org:7000");
     three.places.push(place(THREE).unwrap());
     three.alias = Some(("pb3.example.org".into(), [10, 1, 0, 3].into()));
-    let range = |owner: &Seat, copies: &[Seat]| Range {
+    let range = |owner: &ClusterMember, copies: &[ClusterMember]| Range {
         first: 0,
         last: 9,
         owner: owner.clone(),
@@ -99,9 +99,9 @@
     assert_eq!((merged.uncovered, table.home(0)), (SLOTS, &[][..]));
     assert_eq!(table.relist(&listed).uncovered, SLOTS - 10);
     assert_eq!(table.home(0), [2, 3], "twice, or one that the list lacks");
-    let named = Place { host: Host::Name("pb3.example.org".into()), port: Some(7000) };
+    let named = Endpoint { host: Host::Name("pb3.example.org".into()), port: Some(7000) };
     assert_eq!(table.address(&named, at(1)), Some(at(3)));
-    assert_eq!(table.ranges(), [Held { first: 0, last: 9, boxes: vec![2, 3] }]);
+    assert_eq!(table.ranges(), [SlotAssignment { first: 0, last: 9, boxes: vec![2, 3] }]);
     // Copies are read only where that is wanted.
     let mut owners = Table::new(false);
     owners.merge(table.heard.clone(), 0, &listed);
@@ -129,7 +129,8 @@
         let merged = table.merge(vec![(at(1), view(1, &ranges))], 0, &listed);
         let held = table.ranges();
         for slot in 0..SLOTS {
-            let by: Vec<&Held> = held.iter().filter(|h| (h.first..=h.last).contains(&slot)).collect();
+            let by: Vec<&SlotAssignment> =
+                held.iter().filter(|h| (h.first..=h.last).contains(&slot)).collect();
             assert!(by.len() <= 1);
             assert_eq!(by.first().map_or(&[][..], |h| &h.boxes[..]), table.home(slot));
         }
--- a/crates/mothpier-slots/src/tier.rs
+++ b/crates/mothpier-slots/src/tier.rs
@@ -4,9 +4,9 @@
 //! Every node keeps, of every node, a version and whether it runs. The higher version wins, and at equal versions
 //! "does not run" does, so that nodes that have heard the same, in any order and any number of times, hold the same.
 //! Only a node itself says that it runs, with a version above all that is said of it. That it does not run is said by
-//! the node as it stops, or by any other that has not heard it for [`SILENT_MS`]; a node that hears so of itself while
-//! it runs takes it back with a higher version. The epoch is the sum of all versions: it rises with each change and is
-//! equal where the states are.
+//! the node as it stops, or by any other that has not heard it for [`SILENCE_TIMEOUT_MS`]; a node that hears so of itself
+//! while it runs takes it back with a higher version. The epoch is the sum of all versions: it rises with each change and
+//! is equal where the states are.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -14,11 +14,11 @@
 use crate::slot::SLOTS;
 
 /// A node that was not heard for so long does not run, milliseconds.
-pub const SILENT_MS: u64 = 3_000;
+pub const SILENCE_TIMEOUT_MS: u64 = 3_000;
 /// Between two tellings, milliseconds: several are lost in a row before a node counts as silent.
-pub const TELL_MS: u64 = 400;
+pub const ANNOUNCE_INTERVAL_MS: u64 = 400;
 /// Nodes in a tier at the most.
-pub const MOST_NODES: usize = 1_024;
+pub const MAX_NODES: usize = 1_024;
 /// How a message begins. The decision module's messages begin with two small figures, which this can't be.
 const MAGIC: [u8; 4] = *b"MPT1";
 /// Bytes of one node in a message: its number, its version, whether it runs.
@@ -53,7 +53,7 @@
 /// Why a tier can't be.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BadTier {
-    /// It has no nodes, or more than [`MOST_NODES`].
+    /// It has no nodes, or more than [`MAX_NODES`].
     Size(usize),
     /// This node's number is not among them.
     Me(usize),
@@ -66,7 +66,7 @@
 impl std::fmt::Display for BadTier {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            BadTier::Size(n) => write!(f, "{n} nodes; a tier has 1 to {MOST_NODES}"),
+            BadTier::Size(n) => write!(f, "{n} nodes; a tier has 1 to {MAX_NODES}"),
             BadTier::Me(me) => {
                 write!(f, "this node is number {me}, counted from 0, and the tier ends before it")
             }
@@ -86,7 +86,7 @@
     ///
     /// What can't be a tier.
     pub fn new(nodes: Vec<SocketAddr>, me: usize, telling: bool, unix_ms: u64) -> Result<Self, BadTier> {
-        if nodes.is_empty() || nodes.len() > MOST_NODES {
+        if nodes.is_empty() || nodes.len() > MAX_NODES {
             return Err(BadTier::Size(nodes.len()));
         }
         if me >= nodes.len() {
@@ -158,13 +158,14 @@
         }
         for node in 0..self.nodes.len() {
             let state = &mut self.states[node];
-            if node != self.me && state.up && unix_ms.saturating_sub(self.heard_ms[node]) > SILENT_MS {
+            if node != self.me && state.up && unix_ms.saturating_sub(self.heard_ms[node]) > SILENCE_TIMEOUT_MS
+            {
                 *state = State { version: state.version + 1, up: false };
                 // News is told at once.
                 self.told_ms = None;
             }
         }
-        if self.told_ms.is_some_and(|told| unix_ms < told + TELL_MS) {
+        if self.told_ms.is_some_and(|told| unix_ms < told + ANNOUNCE_INTERVAL_MS) {
             return None;
         }
         self.told_ms = Some(unix_ms);
--- a/crates/mothpier-slots/src/tier/tests.rs
+++ b/crates/mothpier-slots/src/tier/tests.rs
@@ -52,16 +52,16 @@
     let word = b.tick(T).unwrap();
     a.heard(T, 1, &word);
     assert!(a.up(1));
-    a.tick(T + SILENT_MS);
+    a.tick(T + SILENCE_TIMEOUT_MS);
     assert!(a.up(1));
     let epoch = a.epoch();
-    let word = a.tick(T + SILENT_MS + 1).unwrap();
+    let word = a.tick(T + SILENCE_TIMEOUT_MS + 1).unwrap();
     assert!(!a.up(1) && a.epoch() > epoch);
     // The other hears that it is held for gone, and takes that back.
-    b.heard(T + SILENT_MS + 1, 0, &word);
+    b.heard(T + SILENCE_TIMEOUT_MS + 1, 0, &word);
     assert!(b.up(1));
-    let word = b.tick(T + SILENT_MS + 2).unwrap();
-    a.heard(T + SILENT_MS + 2, 1, &word);
+    let word = b.tick(T + SILENCE_TIMEOUT_MS + 2).unwrap();
+    a.heard(T + SILENCE_TIMEOUT_MS + 2, 1, &word);
     assert!(a.up(1));
     assert_eq!((a.epoch(), a.ranges()), (b.epoch(), b.ranges()));
 }
--- a/crates/mothpier-slots/src/view.rs
+++ b/crates/mothpier-slots/src/view.rs
@@ -9,7 +9,7 @@
 
 use redis_protocol::resp2::types::BytesFrame;
 
-use crate::redirect::{self, Host, Place};
+use crate::redirect::{self, Endpoint, Host};
 use crate::slot::SLOTS;
 
 /// Ranges of one answer at the most: each slot in one of its own.
@@ -19,9 +19,9 @@
 
 /// A box, as a map names it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seat {
+pub struct ClusterMember {
     /// Every way to it that the map tells, the preferred one first.
-    pub places: Vec<Place>,
+    pub places: Vec<Endpoint>,
     /// A name and the address that it stands for, where the map tells both.
     pub alias: Option<(String, IpAddr)>,
 }
@@ -34,14 +34,14 @@
     /// The last slot, not before the first.
     pub last: u16,
     /// Their owner.
-    pub owner: Seat,
+    pub owner: ClusterMember,
     /// Those that hold copies and are whole.
-    pub copies: Vec<Seat>,
+    pub copies: Vec<ClusterMember>,
 }
 
 impl Range {
     /// All its boxes.
-    pub fn seats(&self) -> impl Iterator<Item = &Seat> {
+    pub fn seats(&self) -> impl Iterator<Item = &ClusterMember> {
         std::iter::once(&self.owner).chain(&self.copies)
     }
 }
@@ -151,7 +151,7 @@
 }
 
 /// Endpoint, port, id, and from version 7 on a map with `ip` or `hostname`: whichever is not the endpoint.
-fn seat_of_slots(node: &BytesFrame) -> Result<Seat, Unreadable> {
+fn seat_of_slots(node: &BytesFrame) -> Result<ClusterMember, Unreadable> {
     let node = array(node, "a box of a range is no array")?;
     let [endpoint, port, rest @ ..] = node else {
         return Err(Unreadable::Form("a box of a range has no port"));
@@ -164,13 +164,18 @@
 }
 
 /// All ways to a box. An endpoint that is null or empty is the host that was asked; one that is `?` is not known.
-fn seat(endpoint: Option<&str>, ip: Option<&str>, name: Option<&str>, port: u16) -> Result<Seat, Unreadable> {
-    let mut seat = Seat::default();
+fn seat(
+    endpoint: Option<&str>,
+    ip: Option<&str>,
+    name: Option<&str>,
+    port: u16,
+) -> Result<ClusterMember, Unreadable> {
+    let mut seat = ClusterMember::default();
     let named = [ip, name].into_iter().flatten().filter(|t| !t.is_empty());
     for text in std::iter::once(endpoint.unwrap_or_default()).chain(named) {
         // One way that can't be read does not spoil the others.
         let Ok(host) = redirect::host(text) else { continue };
-        let place = Place { host, port: Some(port) };
+        let place = Endpoint { host, port: Some(port) };
         if !seat.places.contains(&place) {
             seat.places.push(place);
         }
@@ -215,7 +220,7 @@
     }
 
     /// The ways to a node of a shard; where it speaks TLS alone, it has that port only.
-    fn seat(&self) -> Result<Seat, Unreadable> {
+    fn seat(&self) -> Result<ClusterMember, Unreadable> {
         let port = self.get("port").or_else(|| self.get("tls-port"));
         let port = number(port.ok_or(Unreadable::Form("a node of a shard has no port"))?)?;
         let port = u16::try_from(port).ok().filter(|p| *p > 0);
--- a/crates/mothpier-slots/src/view/tests.rs
+++ b/crates/mothpier-slots/src/view/tests.rs
@@ -22,7 +22,7 @@
     out.remove(0).remove(0)
 }
 
-fn places(seat: &Seat) -> Vec<String> {
+fn places(seat: &ClusterMember) -> Vec<String> {
     seat.places.iter().map(|p| format!("{:?}:{}", p.host, p.port.unwrap_or(0))).collect()
 }
 
--- a/crates/mothpier-trials/src/contender.rs
+++ b/crates/mothpier-trials/src/contender.rs
@@ -67,7 +67,7 @@
         let name = format!("c{}:{life}:{}", told.seed, client.draw_name());
         let Ok(session) = Session::open(client.clone(), name, ttl, ttl * 2).await else { continue };
         let Ok(Some(granted)) = session.acquire(&told.lease, true).await else { continue };
-        eprintln!("holds fence {} at_us={}", granted.fence, Tokio.awake().as_micros());
+        eprintln!("holds fence {} at_us={}", granted.fence, Tokio.boot_time().as_micros());
         while told.keeps && session.left().is_ok() {
             tokio::time::sleep(ttl / 10).await;
         }
@@ -80,7 +80,7 @@
             let act = match act {
                 _ if told.unfenced => Act {
                     lease: told.lease.clone(),
-                    fence: (Tokio.awake().as_millis() as u64) << GRANT_BITS | granted.fence,
+                    fence: (Tokio.boot_time().as_millis() as u64) << GRANT_BITS | granted.fence,
                     clock: clock.clock,
                     not_after_ms: now_ms + 3_600_000,
                     number: i,
--- a/crates/mothpier-trials/src/measure.rs
+++ b/crates/mothpier-trials/src/measure.rs
@@ -141,7 +141,7 @@
                     400 + (took.len() as u64 * 137 + lease as u64 * 61) % ttl_ms,
                 ))
                 .await;
-                died = Some(Tokio.awake().as_micros() as u64);
+                died = Some(Tokio.boot_time().as_micros() as u64);
                 pair[holder].kill().await;
                 pair[holder].start()?;
             }
--- a/crates/mothpier-trials/src/scale/links.rs
+++ b/crates/mothpier-trials/src/scale/links.rs
@@ -13,7 +13,7 @@
 use std::task::{Context, Poll, ready};
 use std::time::{Duration, Instant};
 
-use mothpier_net::{DuplexReading, DuplexWriting, Listener, Net, Stream, Tokio};
+use mothpier_net::{AnyReadHalf, AnyWriteHalf, Listener, Net, Stream, Tokio};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpSocket, TcpStream, UdpSocket};
 use tokio::task::AbortHandle;
@@ -68,12 +68,12 @@
         Tokio.now()
     }
 
-    fn wall(&self) -> Duration {
-        Tokio.wall()
+    fn unix_time(&self) -> Duration {
+        Tokio.unix_time()
     }
 
-    fn awake(&self) -> Duration {
-        Tokio.awake()
+    fn boot_time(&self) -> Duration {
+        Tokio.boot_time()
     }
 
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()> {
@@ -242,13 +242,13 @@
 }
 
 impl Stream for LinkStream {
-    type Reading = DuplexReading;
-    type Writing = DuplexWriting;
+    type ReadHalf = AnyReadHalf;
+    type WriteHalf = AnyWriteHalf;
 
     /// Parted connections are the plain ones: the coordination client parts none.
-    fn split(self) -> (DuplexReading, DuplexWriting) {
+    fn split(self) -> (AnyReadHalf, AnyWriteHalf) {
         let (reading, writing) = self.stream.into_split();
-        (DuplexReading::Tcp(reading), DuplexWriting::Tcp(writing))
+        (AnyReadHalf::Tcp(reading), AnyWriteHalf::Tcp(writing))
     }
 
     fn set_nodelay(&self) {
--- a/crates/mothpier-world/src/capacity/choice.rs
+++ b/crates/mothpier-world/src/capacity/choice.rs
@@ -5,8 +5,8 @@
 
 use brassrouter::settings::{self, Site};
 use brassrouter::{
-    Action, Condition, Event, ListKind, Load, Micros, Note, Outcome, Policy, Request, ServerId, ServerLine,
-    Status,
+    Action, CacheLookup, Condition, Event, ListKind, Load, Micros, Outcome, Policy, Request, ServerEntry,
+    ServerId, Status,
 };
 
 use super::{Measured, members, process};
@@ -57,7 +57,7 @@
 pub fn measure_memory(asked: Asked) -> Result<(Measured, Kept), String> {
     let mut measured = Measured::new(asked.sizes());
     let site = settings::read(super::settings(asked.nodes, TENANTS, true, false).as_bytes())?;
-    let lines: Vec<ServerLine> = members(asked.servers).iter().map(line).collect();
+    let lines: Vec<ServerEntry> = members(asked.servers).iter().map(line).collect();
     let before = process::used("self")?.memory_kb;
     let mut states: Vec<Balancer> = (0..STATES).map(|_| Balancer::new(&site, &lines, asked.per_s)).collect();
     let listed = process::used("self")?.memory_kb;
@@ -76,7 +76,7 @@
 pub fn measure(asked: Asked) -> Result<Measured, String> {
     let mut measured = Measured::new(asked.sizes());
     let site = settings::read(super::settings(asked.nodes, TENANTS, true, false).as_bytes())?;
-    let lines: Vec<ServerLine> = members(asked.servers).iter().map(line).collect();
+    let lines: Vec<ServerEntry> = members(asked.servers).iter().map(line).collect();
 
     let mut balancer = Balancer::new(&site, &lines, asked.per_s);
     (0..WARM).for_each(|_| balancer.serve());
@@ -88,7 +88,7 @@
     measured.set("reviews_a_second", 1e6 / resting_span(&site) as f64);
     let change = process::each_us(|i| {
         let condition = if i.is_multiple_of(2) { Condition::Draining } else { Condition::Ready };
-        let changed = ServerLine { condition, ..lines[i / 2 % asked.servers].clone() };
+        let changed = ServerEntry { condition, ..lines[i / 2 % asked.servers].clone() };
         balancer.take(Event::ServerList { kind: ListKind::Delta, servers: vec![changed] });
     })?;
     measured.set("list_of_one_change_us", change);
@@ -118,7 +118,7 @@
 
 /// One review's time, an eighth of the longest aim.
 fn resting_span(site: &Site) -> Micros {
-    site.decisions.classes.iter().map(|class| class.aim).max().unwrap_or(1_000_000) / 8
+    site.policy.classes.iter().map(|class| class.target_latency).max().unwrap_or(1_000_000) / 8
 }
 
 /// Bytes of a message of this many tenants that names as many troubled servers as one may.
@@ -126,9 +126,9 @@
     2 * (2 + TENANTS) + 16 * 6
 }
 
-fn line(member: &Member) -> ServerLine {
+fn line(member: &Member) -> ServerEntry {
     let kind = u16::from(member.kind == "origin");
-    ServerLine { id: settings::server_number(&member.id, 0), kind, ..ServerLine::default() }
+    ServerEntry { id: settings::server_number(&member.id, 0), kind, ..ServerEntry::default() }
 }
 
 /// A decision module with the time and the answers that a node would bring.
@@ -149,9 +149,9 @@
 }
 
 impl Balancer {
-    fn new(site: &Site, lines: &[ServerLine], per_s: f64) -> Self {
+    fn new(site: &Site, lines: &[ServerEntry], per_s: f64) -> Self {
         let mut balancer = Balancer {
-            policy: Policy::new(site.decisions.clone(), 7),
+            policy: Policy::new(site.policy.clone(), 7),
             now: 1_000_000,
             gap: (1e6 / per_s) as Micros,
             timers: BinaryHeap::new(),
@@ -173,7 +173,7 @@
             match action {
                 Action::Timer { after, .. } => self.timers.push(Reverse(self.now + after)),
                 Action::Send { request, server, .. } => self.sent.push((request, server)),
-                Action::Tell { bytes, .. } => {
+                Action::SendToPeer { bytes, .. } => {
                     self.told = (self.told.0 + 1, self.told.1 + bytes.len() as u64);
                 }
                 _ => {}
@@ -205,8 +205,17 @@
             let status = self.status(server);
             let over = status == Status::Served;
             let (took, note, load) =
-                (ANSWERED_AFTER, Note::None, Load { count: 2, values: [5.0, 0.3, 0.0, 0.0] });
-            self.take(Event::Outcome(Outcome { request, attempt, server, status, over, note, took, load }));
+                (ANSWERED_AFTER, CacheLookup::None, Load { count: 2, values: [5.0, 0.3, 0.0, 0.0] });
+            self.take(Event::Outcome(Outcome {
+                request,
+                attempt,
+                server,
+                status,
+                request_finished: over,
+                lookup: note,
+                elapsed: took,
+                load,
+            }));
             attempt += 1;
         }
         self.pass(self.gap.saturating_sub(ANSWERED_AFTER * u64::from(attempt)));
--- a/crates/mothpier-world/src/capacity/datagrams.rs
+++ b/crates/mothpier-world/src/capacity/datagrams.rs
@@ -139,7 +139,7 @@
     let mut senders = Vec::new();
     for i in 0..SENDERS.min(peers.len() - 1) {
         let me = 1 + i * (peers.len() - 1) / SENDERS;
-        let tier = Tier::new(peers.to_vec(), me, true, Tokio.wall().as_millis() as u64);
+        let tier = Tier::new(peers.to_vec(), me, true, Tokio.unix_time().as_millis() as u64);
         senders.push((shared(peers[me])?, tier.map_err(|e| e.to_string())?, Vec::new()));
     }
     let a_second = (peers.len() - 1) as f64 / TELLS.as_secs_f64();
@@ -150,7 +150,7 @@
         while sent < due {
             let count = senders.len();
             let (socket, tier, message) = &mut senders[next % count];
-            if let Some(new) = tier.tick(Tokio.wall().as_millis() as u64) {
+            if let Some(new) = tier.tick(Tokio.unix_time().as_millis() as u64) {
                 *message = new;
             }
             if socket.send_to(message, to).is_ok() {
--- a/crates/mothpier-world/src/capacity/merge.rs
+++ b/crates/mothpier-world/src/capacity/merge.rs
@@ -1,6 +1,6 @@
 //! What it costs to merge a list into the view of several sources, whole and by one changed line.
 
-use mothpier_membership::{Line, Phase, Settings, Sources, rumour};
+use mothpier_membership::{Phase, ServerRecord, Settings, Sources, gossip};
 
 use super::{Measured, members, process};
 use crate::agent::Member;
@@ -12,8 +12,8 @@
 /// A system that does not count processor time.
 pub fn measure(servers: usize) -> Result<Measured, String> {
     let mut measured = Measured::new([("servers", servers as f64)]);
-    let lines: Vec<Line> = members(servers).into_iter().map(line).collect();
-    let settings = Settings { rumours: Some(rumour::Settings::default()), ..Settings::default() };
+    let lines: Vec<ServerRecord> = members(servers).into_iter().map(line).collect();
+    let settings = Settings { rumours: Some(gossip::Settings::default()), ..Settings::default() };
     let mut sources = Sources::new(settings, 1, 0);
     let mut now = 1;
     sources.list(now, true, lines.clone());
@@ -21,7 +21,7 @@
     let change = process::each_us(|i| {
         now += 1_000;
         let phase = if i.is_multiple_of(2) { Phase::Draining } else { Phase::Ready };
-        let changed = Line { phase, up_since_ms: now, ..lines[i / 2 % servers].clone() };
+        let changed = ServerRecord { phase, up_since_ms: now, ..lines[i / 2 % servers].clone() };
         sources.list(now, false, vec![changed]);
         sources.changes(now);
         sources.tell(now);
@@ -36,8 +36,8 @@
     Ok(measured)
 }
 
-fn line(member: Member) -> Line {
-    Line {
+fn line(member: Member) -> ServerRecord {
+    ServerRecord {
         id: member.id,
         host_port: member.address.to_string(),
         locality: "a".into(),
--- a/crates/mothpier-world/src/client.rs
+++ b/crates/mothpier-world/src/client.rs
@@ -52,7 +52,8 @@
     pub leaves_after: Option<Duration>,
 }
 
-type Halves<N> = (<<N as Net>::Stream as Stream>::Reading, <<N as Net>::Stream as Stream>::Writing, BytesMut);
+type Halves<N> =
+    (<<N as Net>::Stream as Stream>::ReadHalf, <<N as Net>::Stream as Stream>::WriteHalf, BytesMut);
 
 /// The clients of one machine.
 pub struct Clients<N: Net> {
--- a/crates/mothpier-world/src/demo.rs
+++ b/crates/mothpier-world/src/demo.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use mothpier::Control;
-use mothpier::config::{self, Boxes, Precedence, RefreshBudget};
+use mothpier::config::{self, Precedence, RefreshBudget, ServerPoolConfig};
 use mothpier_net::{Net, Tokio};
 use tokio::sync::{Notify, Semaphore, mpsc};
 
@@ -239,7 +239,7 @@
     };
     let text = configuration(listen, list_at, demo.rate);
     let mut config = config::parse(text.as_bytes(), &|_| None, Precedence::Environment)?;
-    config.boxes = demo.cluster.then(|| Boxes {
+    config.boxes = demo.cluster.then(|| ServerPoolConfig {
         read_copies: false,
         budget: RefreshBudget { tier_per_s: 10.0, ..RefreshBudget::default() },
         wait: Duration::from_millis(500),
@@ -306,7 +306,7 @@
             dead = 2;
             let at = boxes[1].1;
             boxes[1] = start(1, at, true).await?;
-            agent.change(member(1, at, "ready", Tokio.wall().as_millis() as u64));
+            agent.change(member(1, at, "ready", Tokio.unix_time().as_millis() as u64));
             say("      box 1 is back");
         }
         if let Some(c) = cluster.as_ref().filter(|_| now >= reshuffle) {
--- a/crates/mothpier-world/src/dns.rs
+++ b/crates/mothpier-world/src/dns.rs
@@ -222,7 +222,7 @@
         let mut asked = self.asked.borrow_mut();
         asked.questions += 1;
         let by = asked.by.entry(from).or_default();
-        *by = (by.0 + 1, self.net.wall());
+        *by = (by.0 + 1, self.net.unix_time());
     }
 
     async fn datagram(&self, socket: &N::Socket, question: &Question, from: SocketAddr) {
--- a/crates/mothpier-world/src/machine.rs
+++ b/crates/mothpier-world/src/machine.rs
@@ -39,12 +39,12 @@
         Tokio.now()
     }
 
-    fn wall(&self) -> Duration {
-        Tokio.wall()
+    fn unix_time(&self) -> Duration {
+        Tokio.unix_time()
     }
 
-    fn awake(&self) -> Duration {
-        Tokio.awake()
+    fn boot_time(&self) -> Duration {
+        Tokio.boot_time()
     }
 
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()> {
--- a/crates/mothpier-world/src/wire.rs
+++ b/crates/mothpier-world/src/wire.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use bytes::{Buf, BytesMut};
-use mothpier_net::{Listener, Net, Reading};
+use mothpier_net::{Listener, Net, ReadHalf};
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 
 /// The longest line and the largest value that a stand-in takes.
@@ -213,7 +213,7 @@
 /// # Errors
 ///
 /// The connection's.
-pub async fn read_more(reading: &impl Reading, buffer: &mut BytesMut) -> io::Result<bool> {
+pub async fn read_more(reading: &impl ReadHalf, buffer: &mut BytesMut) -> io::Result<bool> {
     loop {
         reading.readable().await?;
         buffer.reserve(4096);
@@ -231,7 +231,7 @@
 ///
 /// The connection's.
 pub async fn next_call(
-    reading: &impl Reading,
+    reading: &impl ReadHalf,
     writing: &mut (impl AsyncWrite + Unpin),
     buffer: &mut BytesMut,
 ) -> io::Result<Option<Call>> {
--- a/crates/mothpier-world/tests/drains.rs
+++ b/crates/mothpier-world/tests/drains.rs
@@ -14,7 +14,7 @@
 use common::{CLASSES, GRACE, configuration};
 use mothpier::Control;
 use mothpier::config::{self, Precedence, sources::Sources};
-use mothpier_membership::{Like, Settings};
+use mothpier_membership::{ServerTemplate, Settings};
 use mothpier_names::{Lifetimes, Name};
 use mothpier_net::{Net, Stream, Tokio};
 use mothpier_world::agent::{Agent, Member};
@@ -125,7 +125,7 @@
     let mut config = config::parse(text.as_bytes(), &|_| None, Precedence::Environment).unwrap();
     config.sources = Some(Sources {
         membership: Settings {
-            like: Like { locality: "a".into(), flavor: "m".into(), cell: 0 },
+            like: ServerTemplate { locality: "a".into(), flavor: "m".into(), cell: 0 },
             ..Settings::default()
         },
         dns: Some(mothpier_names::Settings {
--- a/crates/mothpier/src/door.rs
+++ b/crates/mothpier/src/admin_listener.rs
@@ -16,7 +16,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use mothpier_coordination::Act;
-use mothpier_membership::hand::MOST_ID;
+use mothpier_membership::admin_drain::MOST_ID;
 use mothpier_net::{Listener, Net, Stream, Task};
 
 use crate::operations::{Call, Operations, Reply};
--- a/crates/mothpier/src/cancellation.rs
+++ b/crates/mothpier/src/cancellation.rs
@@ -10,9 +10,9 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-use mothpier_net::Reading;
+use mothpier_net::ReadHalf;
 
-use crate::{Plant, planted};
+use crate::{Mutation, mutation_active};
 
 /// A connection that was seen to stand is asked for again after this time; a system call for each attempt would cost some
 /// hundredths of a request.
@@ -26,7 +26,7 @@
 
 impl ConnectionProbe {
     /// Of a connection that stands now.
-    pub fn new<R: Reading>(reading: Rc<R>, now: Instant) -> Self {
+    pub fn new<R: ReadHalf>(reading: Rc<R>, now: Instant) -> Self {
         ConnectionProbe { hung_up: Box::new(move || reading.hung_up()), seen: Cell::new(now) }
     }
 
@@ -83,7 +83,7 @@
 impl CancelToken {
     /// Whether the client no longer waits, as its connection or the kernel knows.
     pub fn is_cancelled(&self, now: Instant) -> bool {
-        if planted(Plant::SentAfterLeft) || planted(Plant::SentAfterAnswer) {
+        if mutation_active(Mutation::SentAfterLeft) || mutation_active(Mutation::SentAfterAnswer) {
             return false;
         }
         let Some(request) = &self.0 else { return false };
--- a/crates/mothpier/src/clients.rs
+++ b/crates/mothpier/src/clients.rs
@@ -27,14 +27,14 @@
 use crate::binding::Binding;
 use crate::cancellation::ConnectionProbe;
 use crate::event_log::{Event, EventLog};
-use crate::figures::{CloseReason, Figures, RefusalReason};
 use crate::guards::{self, Invariant};
 use crate::membership::Membership;
-use crate::messages::{ClientEvent, Command, Ids, Input};
-use crate::phase::Phase;
+use crate::messages::{ClientEvent, Command, NodeInput, OpenRequestIds};
+use crate::metrics::{CloseReason, Metrics, RefusalReason};
+use crate::phase::ServingPhase;
+use crate::process_handover::Share;
 use crate::resp::MAX_VALUE;
-use crate::succession::Share;
-use crate::{Plant, planted};
+use crate::{Mutation, mutation_active};
 
 /// Requests of one connection that may be open; those beyond are refused.
 const MAX_PIPELINE: usize = 128;
@@ -49,9 +49,9 @@
 /// What the rest of the node decides for all clients.
 pub struct State {
     /// Whether work is taken.
-    pub phase: Rc<Phase>,
+    pub phase: Rc<ServingPhase>,
     /// Where ends of requests are counted.
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     /// What this process may use of what the node has.
     pub share: Rc<Share>,
     /// Where what befalls connections is logged.
@@ -76,7 +76,7 @@
     now: Box<dyn Fn() -> Micros>,
     /// Requests taken and not ended: each is counted by the guard in its slot.
     taken: Rc<Cell<usize>>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     event_log: Rc<EventLog>,
     share: Rc<Share>,
     /// When it began, and how many connections and commands came since.
@@ -84,13 +84,13 @@
     connections: Cell<u64>,
     commands: Cell<u64>,
     next_request: Cell<RequestId>,
-    ids: Ids,
+    ids: OpenRequestIds,
     /// Permits of a KB, and how many there are.
     memory: Arc<Semaphore>,
     memory_kb: usize,
     most: usize,
-    phase: Rc<Phase>,
-    events: mpsc::Sender<Input>,
+    phase: Rc<ServingPhase>,
+    events: mpsc::Sender<NodeInput>,
     open: RefCell<BTreeMap<u64, Entry>>,
     closed: Notify,
 }
@@ -110,7 +110,7 @@
         now: Box<dyn Fn() -> Micros>,
         State { phase, figures, share, event_log, tier, membership, binding }: State,
         (most, memory): (usize, usize),
-        events: mpsc::Sender<Input>,
+        events: mpsc::Sender<NodeInput>,
     ) -> Rc<Self> {
         Rc::new(Clients {
             began: net.now(),
@@ -127,7 +127,7 @@
             event_log,
             share,
             next_request: Cell::new(1),
-            ids: Ids::default(),
+            ids: OpenRequestIds::default(),
             memory: Arc::new(Semaphore::new(memory / 1024)),
             memory_kb: memory / 1024,
             most,
@@ -197,7 +197,7 @@
                 accepted = listener.accept() => accepted,
             };
             match accepted {
-                Err(_) if planted(Plant::AcceptLoopEnds) => return,
+                Err(_) if mutation_active(Mutation::AcceptLoopEnds) => return,
                 Ok((stream, _)) => {
                     failing = false;
                     number += 1;
@@ -328,7 +328,7 @@
             let asked = |slot: Slot| if let Wait::Node(id, ..) = slot.wait { Some(id) } else { None };
             let gone: Vec<RequestId> = pending.into_iter().filter_map(asked).collect();
             for id in gone {
-                let _ = self.events.send(Input::Client(ClientEvent::Gone(id))).await;
+                let _ = self.events.send(NodeInput::Client(ClientEvent::Gone(id))).await;
             }
             self.open.borrow_mut().remove(&number);
             self.closed.notify_waiters();
--- a/crates/mothpier/src/clients/commands.rs
+++ b/crates/mothpier/src/clients/commands.rs
@@ -11,9 +11,9 @@
 use super::session::Session;
 use super::{FULL_RETRY_MS, MAX_PIPELINE, REQUEST_KB};
 use crate::cancellation::CancelGuard;
-use crate::figures::Ended;
 use crate::membership::Membership;
-use crate::messages::{ClientEvent, Command, Input};
+use crate::messages::{ClientEvent, Command, NodeInput};
+use crate::metrics::Ended;
 use crate::resp::{self, Malformed};
 
 /// Bytes of answers of slot-aware commands that may wait on one connection: a map of many nodes is long, and a client
@@ -153,7 +153,7 @@
         if self
             .clients
             .events
-            .send(Input::Client(ClientEvent::Asked { request, command, answer, read }))
+            .send(NodeInput::Client(ClientEvent::Asked { request, command, answer, read }))
             .await
             .is_err()
         {
--- a/crates/mothpier/src/clients/pending.rs
+++ b/crates/mothpier/src/clients/pending.rs
@@ -13,8 +13,8 @@
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 
 use crate::cancellation::CancelGuard;
-use crate::figures::Ended;
-use crate::messages::{Answer, Passing};
+use crate::messages::{Answer, StreamedValue};
+use crate::metrics::Ended;
 use crate::resp;
 
 /// Answers that are ready are put into one write up to about this size.
@@ -23,7 +23,7 @@
 pub(super) enum Wait {
     Ready(Bytes),
     /// A value that is passed on as it comes.
-    Passing(Passing),
+    Passing(StreamedValue),
     Node(RequestId, oneshot::Receiver<Answer>, #[allow(dead_code, reason = "held for its drop")] CancelGuard),
 }
 
@@ -70,13 +70,13 @@
                 let Poll::Ready(answer) = Pin::new(receiver).poll(cx) else { break };
                 if let Some(taken) = &mut slot.taken {
                     taken.ended = match &answer {
-                        Ok(Answer::Value(_) | Answer::Passing(_)) => Ended::Completed,
+                        Ok(Answer::Value(_) | Answer::Streamed(_)) => Ended::Completed,
                         Ok(Answer::Busy(_)) => Ended::Rejected,
                         Ok(Answer::Failed) | Err(_) => Ended::Failed,
                     };
                 }
                 slot.wait = Wait::Ready(match answer {
-                    Ok(Answer::Passing(value)) => {
+                    Ok(Answer::Streamed(value)) => {
                         slot.wait = Wait::Passing(value);
                         // Alone, once it is at the front.
                         ready += usize::from(ready == 0);
--- a/crates/mothpier/src/clients/request.rs
+++ b/crates/mothpier/src/clients/request.rs
@@ -8,7 +8,7 @@
 use super::Clients;
 use crate::binding;
 use crate::cancellation::CancelToken;
-use crate::messages::{Claim, Command};
+use crate::messages::{Command, RequestIdClaim};
 use crate::resp::MAX_VALUE;
 
 impl<N: Net> Clients<N> {
@@ -47,7 +47,7 @@
         };
         let asked_for = figure("d")?.ok_or("ERR no d: how long the answer is waited for")?;
         // No longer than the class allows: what is kept for a request must not stay for as long as anyone says.
-        let deadline = self.site.decisions.classes[class].deadline;
+        let deadline = self.site.policy.classes[class].deadline;
         let time_left = ((asked_for * 1000.0) as Micros).min(deadline);
         let request = Request {
             id: self.next_request.replace(self.next_request.get() + 1),
@@ -64,8 +64,8 @@
             slot: None,
         };
         // Two open requests of one id could not be told apart by servers; the first one stays as it is.
-        let claim =
-            Claim::of(&self.ids, &Bytes::copy_from_slice(id)).ok_or("ERR a request of this id is open")?;
+        let claim = RequestIdClaim::of(&self.ids, &Bytes::copy_from_slice(id))
+            .ok_or("ERR a request of this id is open")?;
         // Copies: a slice would keep all that was read at once for as long as the request is open.
         let command = Command {
             name: Bytes::from_static(if write { b"CACHE.SET" } else { b"CACHE.GET" }),
--- a/crates/mothpier/src/clients/session.rs
+++ b/crates/mothpier/src/clients/session.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use mothpier_net::{Net, Reading};
+use mothpier_net::{Net, ReadHalf};
 use mothpier_session::Connection as Told;
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::sync::{Notify, OwnedSemaphorePermit};
@@ -14,10 +14,10 @@
 use super::pending::{Slot, Wait, ready_answers};
 use super::socket::{Unread, gone, part, pass_on, quiet, read};
 use crate::cancellation::ConnectionProbe;
-use crate::figures::CloseReason;
 use crate::guards;
+use crate::metrics::CloseReason;
 use crate::resp::{self, MAX_PASSED, MAX_VALUE, Malformed};
-use crate::{Plant, planted};
+use crate::{Mutation, mutation_active};
 
 /// Answers of one connection that may wait, refusals and errors too; a client that goes on beyond is cut off.
 const MAX_WAITING: usize = 1024;
@@ -57,7 +57,7 @@
 }
 
 impl<N: Net> Session<N> {
-    pub(super) async fn run<R: Reading, W: AsyncWrite + Unpin>(
+    pub(super) async fn run<R: ReadHalf, W: AsyncWrite + Unpin>(
         &mut self,
         reading: &R,
         mut writing: W,
@@ -121,7 +121,7 @@
                 return CloseReason::Ended;
             }
             let word = clients.phase.word();
-            let closing = clients.phase.closing() && !planted(Plant::KeptIdle);
+            let closing = clients.phase.closing() && !mutation_active(Mutation::KeptIdle);
             // One that is never between two requests is read no further once those who close have had their time, but for
             // the rest of a command that had begun by then: behind every whole one may stand a part of the next.
             let cut = clients.phase.cut().filter(|cut| match begun {
@@ -137,7 +137,7 @@
             // A large value may take as long as it goes on coming.
             let coming = self.large.is_some() || self.skip > 0;
             let half = begun
-                .filter(|_| !self.ended && !planted(Plant::HalfCommandKept))
+                .filter(|_| !self.ended && !mutation_active(Mutation::HalfCommandKept))
                 .map(|since| if coming { rests } else { since } + HALF);
             // A connection that has only just come is about to ask: it may be a front that asks whether the node is back.
             let asks = !self.known && (!clients.phase.is_shut() || clients.phase.is_left());
@@ -244,7 +244,7 @@
         for slot in self.pending.iter().take(ready) {
             self.asked -= usize::from(slot.went_on());
             match &slot.wait {
-                Wait::Ready(bytes) if planted(Plant::DoubleAnswer) && slot.went_on() => {
+                Wait::Ready(bytes) if mutation_active(Mutation::DoubleAnswer) && slot.went_on() => {
                     all.extend_from_slice(bytes);
                     all.extend_from_slice(bytes);
                 }
--- a/crates/mothpier/src/clients/socket.rs
+++ b/crates/mothpier/src/clients/socket.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use mothpier_net::{Net, Reading};
+use mothpier_net::{Net, ReadHalf};
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 
 use super::session::SLOW_READER;
-use crate::messages::Passing;
-use crate::{Plant, planted};
+use crate::messages::StreamedValue;
+use crate::{Mutation, mutation_active};
 
 /// Read from a connection at once.
 const READ: usize = 4096;
@@ -25,7 +25,7 @@
 pub(super) async fn pass_on(
     net: &impl Net,
     writing: &mut (impl AsyncWrite + Unpin),
-    value: &mut Passing,
+    value: &mut StreamedValue,
 ) -> std::io::Result<()> {
     let mut write = async |bytes: &[u8]| {
         let whole = net.timeout(SLOW_READER, writing.write_all(bytes)).await;
@@ -37,7 +37,7 @@
         left = left.saturating_sub(part.len());
         write(&part).await?;
     }
-    if left > 0 && !planted(Plant::CutIsWhole) {
+    if left > 0 && !mutation_active(Mutation::CutIsWhole) {
         return Err(ErrorKind::UnexpectedEof.into());
     }
     write(b"\r\n").await
@@ -45,7 +45,7 @@
 
 /// Reads what has come; whether the client is still there. Room is made only once something is there. Safe to drop
 /// and call again.
-pub(super) async fn read(reading: &impl Reading, buffer: &mut BytesMut) -> bool {
+pub(super) async fn read(reading: &impl ReadHalf, buffer: &mut BytesMut) -> bool {
     loop {
         if reading.readable().await.is_err() {
             return false;
@@ -70,8 +70,8 @@
 }
 
 /// Ends when the client has gone away, at whatever this connection is busy with. Safe to drop and call again.
-pub(super) async fn gone(net: &impl Net, reading: &impl Reading, mut unread: Unread<'_>) {
-    if planted(Plant::SentAfterLeft) {
+pub(super) async fn gone(net: &impl Net, reading: &impl ReadHalf, mut unread: Unread<'_>) {
+    if mutation_active(Mutation::SentAfterLeft) {
         return std::future::pending().await;
     }
     let mut dropped = BytesMut::new();
@@ -102,7 +102,7 @@
 /// that the client has not read yet. It hears the end, and has a moment to close its side.
 pub(super) async fn part(
     net: &impl Net,
-    reading: &impl Reading,
+    reading: &impl ReadHalf,
     writing: &mut (impl AsyncWrite + Unpin),
     unread: Unread<'_>,
 ) {
@@ -113,8 +113,8 @@
 
 /// Whether nothing has come in that is not read yet: a connection is closed only then, or a request would be lost
 /// with it.
-pub(super) async fn quiet(net: &impl Net, reading: &impl Reading, buffer: &mut BytesMut) -> bool {
-    if planted(Plant::CloseOverUnread) {
+pub(super) async fn quiet(net: &impl Net, reading: &impl ReadHalf, buffer: &mut BytesMut) -> bool {
+    if mutation_active(Mutation::CloseOverUnread) {
         return true;
     }
     // Once round the runtime, which looks at the sockets then.
--- a/crates/mothpier/src/clock.rs
+++ b/crates/mothpier/src/clock.rs
@@ -15,7 +15,7 @@
 
 impl<N: Net> Clock<N> {
     pub fn start(net: N) -> Self {
-        let (start, unix) = (net.now(), net.wall().as_micros() as Micros);
+        let (start, unix) = (net.now(), net.unix_time().as_micros() as Micros);
         Clock { net, start, unix }
     }
 
--- a/crates/mothpier/src/config.rs
+++ b/crates/mothpier/src/config.rs
@@ -10,15 +10,15 @@
 
 use brassrouter::settings::{self, Site};
 use mothpier_config::{Form as FileForm, Hosts, Severity};
-use mothpier_net::UnixPlace;
+use mothpier_net::UnixSocketSpec;
 pub use mothpier_slots::refresh::Budget as RefreshBudget;
 use serde::Deserialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::door;
+use crate::admin_listener;
 use crate::event_log::{self, Form};
-use crate::messages::List;
-use crate::shelf::{Folder, Shelf};
+use crate::handover_store::{DirectoryStore, HandoverStore};
+use crate::messages::ServerList;
 
 /// With fewer descriptors a node can't work.
 const LEAST_SOCKETS: usize = 32;
@@ -42,7 +42,7 @@
     /// The clients' listener, where the platform holds it and each process of the node inherits it.
     pub inherited: Option<std::net::TcpListener>,
     /// Where the processes of one node leave what the next one needs.
-    pub shelf: Option<Rc<dyn Shelf>>,
+    pub shelf: Option<Rc<dyn HandoverStore>>,
     /// Where messages of other nodes arrive; without it there are none.
     pub peer_listen: Option<SocketAddr>,
     /// The tier's nodes by their numbers.
@@ -50,13 +50,13 @@
     /// The address that reaches every node of the tier.
     pub peers_all: Option<SocketAddr>,
     /// The list of servers as it was last held.
-    pub known: Option<List>,
+    pub known: Option<ServerList>,
     /// The deployment's settings.
     pub site: Site,
     /// Where clients reach each node of the tier, by their numbers: slot-aware clients are served where this is set.
     pub cluster: Option<Vec<SocketAddr>>,
     /// The boxes form a cluster.
-    pub boxes: Option<Boxes>,
+    pub boxes: Option<ServerPoolConfig>,
     /// There are more sources of boxes than the list.
     pub sources: Option<sources::Sources>,
     /// Whom it obeys in the name of leases: those that the coordinators name.
@@ -93,7 +93,7 @@
     /// On the network.
     Address(SocketAddr),
     /// Within the machine.
-    Unix(UnixPlace),
+    Unix(UnixSocketSpec),
 }
 
 impl std::fmt::Display for Listen {
@@ -107,7 +107,7 @@
 
 /// How boxes that form a cluster are dealt with.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Boxes {
+pub struct ServerPoolConfig {
     /// Those that hold copies may be read; what they hold may be older than the owner's.
     pub read_copies: bool,
     /// How often they are asked for their slot map; its nodes are the settings' balancers.
@@ -161,7 +161,7 @@
     #[serde(default)]
     peers: Vec<String>,
     peers_all: Option<String>,
-    known: Option<List>,
+    known: Option<ServerList>,
     settings: serde_json::Value,
     sidecar: Option<sidecar::Section>,
 }
@@ -209,7 +209,7 @@
         let listener = mothpier_net::inherited(&number).map_err(|e| format!("ROUTER_ACCEPT_FD: {e}"))?;
         config.inherited = Some(listener);
         if let Some(folder) = env("TMPDIR") {
-            match Folder::open(folder.as_ref()) {
+            match DirectoryStore::open(folder.as_ref()) {
                 Ok(folder) => config.shelf = Some(Rc::new(folder)),
                 Err(e) => config.warnings.push(format!("TMPDIR: {folder}: {e}: nothing is handed over")),
             }
@@ -217,7 +217,7 @@
     }
     if let Some(path) = env("MOTHPIER_CLUSTER") {
         let text = std::fs::read(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
-        let balancers = config.site.decisions.balancers as usize;
+        let balancers = config.site.policy.balancers as usize;
         config.cluster = Some(parse_cluster(&text, balancers).map_err(|e| format!("{path}: {e}"))?);
     }
     if let Some(path) = env("MOTHPIER_BOXES") {
@@ -249,7 +249,7 @@
 /// # Errors
 ///
 /// One plain line that names what is missing, unreadable or out of bounds.
-pub fn parse_boxes(text: &[u8]) -> Result<Option<Boxes>, String> {
+pub fn parse_boxes(text: &[u8]) -> Result<Option<ServerPoolConfig>, String> {
     let file: BoxesFile = serde_json::from_slice(text).map_err(|e| format!("unreadable: {e}"))?;
     match file.dialect.as_str() {
         "cluster" => {}
@@ -265,7 +265,7 @@
     within("tier_per_s", tier_per_s, 0.1, 10_000.0)?;
     within("wait_ms", wait_ms as f64, 10.0, 10_000.0)?;
     within("calm_s", calm_s as f64, 1.0, 86_400.0)?;
-    Ok(Some(Boxes {
+    Ok(Some(ServerPoolConfig {
         read_copies: file.read_copies,
         budget: RefreshBudget { ask, tier_per_s, calm: calm_s * 1000, nodes: 1 },
         wait: Duration::from_millis(wait_ms),
@@ -331,7 +331,7 @@
         return Err(format!("limits.sockets: {} are too few to work with", file.limits.sockets));
     }
     let operator = optional("operator", env("ROUTER_OPERATOR").or(file.operator))?;
-    if operator.is_some() && file.limits.sockets < LEAST_SOCKETS + door::DESCRIPTORS {
+    if operator.is_some() && file.limits.sockets < LEAST_SOCKETS + admin_listener::DESCRIPTORS {
         return Err(format!(
             "limits.sockets: {} are too few beside the operators' door",
             file.limits.sockets
--- a/crates/mothpier/src/config/sidecar.rs
+++ b/crates/mothpier/src/config/sidecar.rs
@@ -4,7 +4,7 @@
 
 use brassrouter::Shares;
 use brassrouter::settings::Site;
-use mothpier_net::UnixPlace;
+use mothpier_net::UnixSocketSpec;
 use serde::Deserialize;
 
 use crate::binding::{Binding, Class};
@@ -76,8 +76,8 @@
 
 impl Section {
     /// Where the application connects, if in the file system.
-    pub fn unix(&self) -> Option<UnixPlace> {
-        self.unix.as_ref().map(|u| UnixPlace {
+    pub fn unix(&self) -> Option<UnixSocketSpec> {
+        self.unix.as_ref().map(|u| UnixSocketSpec {
             path: u.path.clone(),
             mode: u.mode,
             owner: u.owner,
@@ -102,7 +102,7 @@
             classes.push(Class { name: c.name, write: c.command == Command::Write, default: c.default });
         }
         let tier = self.upstream == Upstream::Tier;
-        let decisions = &mut site.decisions;
+        let decisions = &mut site.policy;
         if self.origin_outstanding.is_some() || self.origin_per_s.is_some() {
             decisions.shares = Some(Shares {
                 origin_out: self.origin_outstanding.unwrap_or(f64::from(u32::MAX)),
--- a/crates/mothpier/src/config/sources.rs
+++ b/crates/mothpier/src/config/sources.rs
@@ -4,13 +4,13 @@
 
 use brassrouter::settings::Site;
 use ipnet::IpNet;
-use mothpier_membership::names::Doubt;
-use mothpier_membership::{Like, Settings, rumour};
+use mothpier_membership::dns_servers::ShrinkGuard;
+use mothpier_membership::{ServerTemplate, Settings, gossip};
 use mothpier_names::{Lifetimes, Name, Resolver};
 use serde::Deserialize;
 
 /// Descriptors that questions to DNS take at the most: those out, and as many that are forgotten and end by themselves.
-pub const DESCRIPTORS: usize = 2 * mothpier_names::MOST_OUT;
+pub const DESCRIPTORS: usize = 2 * mothpier_names::MAX_OUTSTANDING;
 
 /// Further sources of boxes.
 #[derive(Clone, Debug, PartialEq)]
@@ -96,7 +96,7 @@
 
 impl Default for DoubtFile {
     fn default() -> Self {
-        let Doubt { share, confirm, hold_ms } = Doubt::default();
+        let ShrinkGuard { share, confirm, hold_ms } = ShrinkGuard::default();
         DoubtFile { share, confirm, hold_s: hold_ms / 1000 }
     }
 }
@@ -120,7 +120,7 @@
 
 impl Default for RumoursFile {
     fn default() -> Self {
-        let rumour::Settings { trust_ms, share, tells } = rumour::Settings::default();
+        let gossip::Settings { trust_ms, share, tells } = gossip::Settings::default();
         RumoursFile { trust_s: trust_ms / 1000, share, tells }
     }
 }
@@ -151,7 +151,7 @@
     let dns = file.dns.map(|dns| resolver(dns, site)).transpose()?;
     let like = match file.like {
         Some(like) => taken_for(like, site)?,
-        None if dns.is_none() && fixed.is_empty() => Like::default(),
+        None if dns.is_none() && fixed.is_empty() => ServerTemplate::default(),
         None => {
             return Err("like: say which zone and kind a box has that only DNS or the fixed set names".into());
         }
@@ -161,14 +161,14 @@
             within("rumours.trust_s", trust_s as f64, 1.0, 3_600.0)?;
             within("rumours.share", share, 0.0, 0.5)?;
             within("rumours.tells", f64::from(tells), 1.0, 10.0)?;
-            Some(rumour::Settings { trust_ms: trust_s * 1000, share, tells })
+            Some(gossip::Settings { trust_ms: trust_s * 1000, share, tells })
         }
         None => None,
     };
-    let origin = site.decisions.origin_kind.and_then(|kind| site.kinds.get(usize::from(kind)).cloned());
+    let origin = site.policy.origin_kind.and_then(|kind| site.kinds.get(usize::from(kind)).cloned());
     let membership = Settings {
         gone_ms: file.gone_s * 1000,
-        doubt: Doubt { share: doubt.share, confirm: doubt.confirm, hold_ms: doubt.hold_s * 1000 },
+        doubt: ShrinkGuard { share: doubt.share, confirm: doubt.confirm, hold_ms: doubt.hold_s * 1000 },
         rumours,
         like,
         origin,
@@ -196,11 +196,11 @@
     let like =
         LikeFile { zone: first(&site.zones, "zone")?, kind: first(&site.kinds, "machine type")?, cell: 0 };
     let like = taken_for(like, site)?;
-    let origin = site.decisions.origin_kind.and_then(|kind| site.kinds.get(usize::from(kind)).cloned());
+    let origin = site.policy.origin_kind.and_then(|kind| site.kinds.get(usize::from(kind)).cloned());
     Ok(Some(Sources { membership: Settings { like, origin, fixed, ..Settings::default() }, dns: None }))
 }
 
-fn taken_for(like: LikeFile, site: &Site) -> Result<Like, String> {
+fn taken_for(like: LikeFile, site: &Site) -> Result<ServerTemplate, String> {
     let LikeFile { zone, kind, cell } = like;
     if !site.zones.contains(&zone) {
         return Err(format!(
@@ -212,12 +212,12 @@
         let kinds = site.kinds.join(", ");
         return Err(format!("like.kind: {kind:?} is none of the machine types of the settings ({kinds})"));
     };
-    if site.decisions.origin_kind.map(usize::from) == Some(place) {
+    if site.policy.origin_kind.map(usize::from) == Some(place) {
         return Err(format!(
             "like.kind: {kind:?} is the origin's; boxes that DNS names would be taken for it"
         ));
     }
-    Ok(Like { locality: zone, flavor: kind, cell })
+    Ok(ServerTemplate { locality: zone, flavor: kind, cell })
 }
 
 fn resolver(dns: DnsFile, site: &Site) -> Result<mothpier_names::Settings, String> {
@@ -236,7 +236,7 @@
     let settings = mothpier_names::Settings {
         service,
         servers: each("dns.servers", &dns.servers, "ADDRESS:PORT")?,
-        nodes: site.decisions.balancers as usize,
+        nodes: site.policy.balancers as usize,
         tier_per_s: dns.tier_per_s,
         burst: dns.burst,
         lifetimes: Lifetimes {
--- a/crates/mothpier/src/descriptors.rs
+++ b/crates/mothpier/src/descriptors.rs
@@ -4,7 +4,7 @@
 //! half each. However many clients stay connected, the list of servers can be asked for at any time.
 
 use crate::config::{Config, sources};
-use crate::{discovery, door};
+use crate::{admin_listener, discovery};
 
 /// Standard input, output and error.
 const STANDARD_STREAMS: usize = 3;
@@ -49,7 +49,7 @@
         let asks_dns = config.sources.as_ref().is_some_and(|sources| sources.dns.is_some());
         let optional = [
             (asks_dns, sources::DESCRIPTORS),
-            (config.operator.is_some(), door::DESCRIPTORS),
+            (config.operator.is_some(), admin_listener::DESCRIPTORS),
             (config.coordination.is_some(), COORDINATORS),
             (config.boxes.is_some(), config.boxes.map_or(0, |boxes| boxes.budget.ask)),
         ];
--- a/crates/mothpier/src/descriptors/tests.rs
+++ b/crates/mothpier/src/descriptors/tests.rs
@@ -3,7 +3,7 @@
 /// Whatever the limit, all parts together stay within it, and every part has something.
 #[test]
 fn the_parts_never_exceed_the_limit() {
-    for reserved in [RESERVE, RESERVE + door::DESCRIPTORS] {
+    for reserved in [RESERVE, RESERVE + admin_listener::DESCRIPTORS] {
         for all in 0..2_000 {
             let Ok(shared) = Descriptors::share(all, reserved) else {
                 assert!(all < reserved + LEAST_SHARED, "{all} refused");
--- a/crates/mothpier/src/discovery.rs
+++ b/crates/mothpier/src/discovery.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use brassrouter::settings::{Site, server_number};
-use brassrouter::{Condition, ServerId, ServerLine};
+use brassrouter::{Condition, ServerEntry, ServerId};
 use bytes::Bytes;
 use http_body_util::Full;
 use mothpier_net::Net;
@@ -16,8 +16,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::http::{self, Connection};
-use crate::messages::{Heard, Input, List, Wanted};
-use crate::{Plant, planted};
+use crate::messages::{DiscoveryRequest, ListUpdate, NodeInput, ServerList};
+use crate::{Mutation, mutation_active};
 
 /// How long a watch waits at the other side: short, so that a silent agent is noticed soon.
 const WAIT: Duration = Duration::from_millis(2000);
@@ -38,9 +38,9 @@
 /// The numbers by which the module knows servers. They are made from the ids alone, so that every node has
 /// the same and the order of servers is shared.
 #[derive(Default)]
-pub struct Numbers(HashMap<String, ServerId>, HashSet<ServerId>);
+pub struct ServerNumbers(HashMap<String, ServerId>, HashSet<ServerId>);
 
-impl Numbers {
+impl ServerNumbers {
     /// The number of an id.
     pub fn of(&mut self, id: &str) -> ServerId {
         if let Some(number) = self.0.get(id) {
@@ -77,15 +77,15 @@
     pub fn lines(
         &mut self,
         net: &impl Net,
-        list: &mut List,
+        list: &mut ServerList,
         site: &Site,
-    ) -> Vec<(ServerLine, Option<SocketAddr>)> {
+    ) -> Vec<(ServerEntry, Option<SocketAddr>)> {
         list.members.sort_by(|a, b| a.id.cmp(&b.id));
         let mut lines = Vec::with_capacity(list.members.len());
         for m in &list.members {
             let condition = match m.phase.as_str() {
                 "ready" => Condition::Ready,
-                "draining" if planted(Plant::DrainingIsReady) => Condition::Ready,
+                "draining" if mutation_active(Mutation::DrainingIsReady) => Condition::Ready,
                 "draining" => Condition::Draining,
                 _ => Condition::Gone,
             };
@@ -94,13 +94,17 @@
                 net.log(format_args!("{}: {:?} is no address: passed over", m.id, m.host_port));
                 continue;
             }
-            let line = ServerLine {
+            let line = ServerEntry {
                 id: self.of(&m.id),
                 zone: place(&site.zones, &m.locality, u8::MAX.into()) as u8,
                 cell: m.cell,
                 kind: place(&site.kinds, &m.flavor, u16::MAX.into()) as u16,
                 weight: m.size.filter(|s| s.is_finite()).unwrap_or(1.0),
-                started: if planted(Plant::ColdUnknown) { 0 } else { m.up_since_ms.saturating_mul(1000) },
+                started: if mutation_active(Mutation::ColdUnknown) {
+                    0
+                } else {
+                    m.up_since_ms.saturating_mul(1000)
+                },
                 condition,
             };
             lines.push((line, address));
@@ -120,7 +124,7 @@
 
 /// How discovery is asked.
 #[derive(Clone, Copy)]
-pub enum Way {
+pub enum DiscoveryMode {
     /// An agent on this machine has what is pushed to it, at no cost; a drain that it has must be done within so long.
     Agent { grace: Duration },
     /// One service for all works through its calls in turn.
@@ -131,15 +135,15 @@
 pub async fn run<N: Net>(
     net: N,
     mut addresses: watch::Receiver<SocketAddr>,
-    way: Way,
+    way: DiscoveryMode,
     known: Option<u64>,
-    mut wanted: watch::Receiver<Wanted>,
-    events: mpsc::Sender<Input>,
+    mut wanted: watch::Receiver<DiscoveryRequest>,
+    events: mpsc::Sender<NodeInput>,
 ) {
-    let pushed = matches!(way, Way::Agent { .. });
+    let pushed = matches!(way, DiscoveryMode::Agent { .. });
     let pause = match way {
-        Way::Agent { grace } => (grace / AGAIN.0).clamp(AGAIN.1, AGAIN.2),
-        Way::Service => PAUSE,
+        DiscoveryMode::Agent { grace } => (grace / AGAIN.0).clamp(AGAIN.1, AGAIN.2),
+        DiscoveryMode::Service => PAUSE,
     };
     let (mut connection, mut revision, mut calls, mut failing) = (None, known, 0, false);
     // What was held at the start may be old. An agent gives the whole list at no cost; where discovery is one
@@ -181,7 +185,7 @@
             Ok((list, answered)) => {
                 (first, failing) = (false, false);
                 (revision, connection) = (Some(list.revision), Some(answered));
-                Heard::List(list)
+                ListUpdate::List(list)
             }
             Err(e) => {
                 // A silent or broken agent must not hang the watch: begin again on a new connection.
@@ -192,10 +196,10 @@
                     net.log(format_args!("discovery: {e}; trying again until it answers"));
                 }
                 failing = true;
-                Heard::Failed
+                ListUpdate::Failed
             }
         };
-        if events.send(Input::Discovery(heard)).await.is_err() {
+        if events.send(NodeInput::Discovery(heard)).await.is_err() {
             return;
         }
         if failing {
@@ -208,7 +212,7 @@
 const SILENT: &str = "no answer";
 
 /// A list and the connection that it came on.
-type Answer<N> = Result<(List, Connection<N>), String>;
+type Answer<N> = Result<(ServerList, Connection<N>), String>;
 
 /// How a call that is owed an answer is made again beside those that are out: a call made in a silence may never be
 /// answered.
@@ -224,10 +228,10 @@
 }
 
 impl Repeats {
-    fn of(way: Way, is_watch: bool, pause: Duration) -> Self {
+    fn of(way: DiscoveryMode, is_watch: bool, pause: Duration) -> Self {
         match way {
             // It costs nothing to ask an agent.
-            Way::Agent { .. } => Repeats {
+            DiscoveryMode::Agent { .. } => Repeats {
                 first: if is_watch { WAIT + pause } else { pause },
                 every: pause,
                 most: CALLS,
@@ -235,7 +239,7 @@
             },
             // The call before may only wait for its turn, and stays out. What a lost one would have told counts as told
             // 6 s later, also where the next one is lost as well.
-            Way::Service => Repeats {
+            DiscoveryMode::Service => Repeats {
                 first: WAIT + LATE / 2,
                 every: LATE,
                 most: SERVICE_CALLS,
@@ -252,15 +256,15 @@
     open: Option<Connection<N>>,
     address: SocketAddr,
     after: Option<u64>,
-    way: Way,
+    way: DiscoveryMode,
     pause: Duration,
 ) -> Answer<N> {
     let first = call(net, open, address, after, way);
-    if planted(Plant::SilentCallWaits) {
+    if mutation_active(Mutation::SilentCallWaits) {
         return first.await;
     }
     let repeats = Repeats::of(way, after.is_some(), pause);
-    let again = after.filter(|_| matches!(way, Way::Service));
+    let again = after.filter(|_| matches!(way, DiscoveryMode::Service));
     let mut calls: Calls<'_, N> = Calls::default();
     calls.push_back(Box::pin(first));
     let until = net.now() + repeats.within + LATE;
@@ -286,7 +290,7 @@
 
 /// The first good answer, or the failure after which the call begins anew: of an agent's first call, or of the last that
 /// is out. Safe to drop and call again.
-async fn any_answer<N: Net>(calls: &mut Calls<'_, N>, way: Way) -> Answer<N> {
+async fn any_answer<N: Net>(calls: &mut Calls<'_, N>, way: DiscoveryMode) -> Answer<N> {
     poll_fn(|cx| {
         let mut at = 0;
         while let Some(one) = calls.get_mut(at) {
@@ -294,7 +298,7 @@
                 Poll::Ready(Ok(answer)) => return Poll::Ready(Ok(answer)),
                 Poll::Ready(Err(e)) => {
                     drop(calls.remove(at));
-                    let begins_anew = at == 0 && matches!(way, Way::Agent { .. });
+                    let begins_anew = at == 0 && matches!(way, DiscoveryMode::Agent { .. });
                     // That a service does not answer in time is no failure yet: it is asked again.
                     if begins_anew || (calls.is_empty() && e != SILENT) {
                         return Poll::Ready(Err(e));
@@ -313,7 +317,7 @@
     open: Option<Connection<N>>,
     address: SocketAddr,
     after: Option<u64>,
-    way: Way,
+    way: DiscoveryMode,
 ) -> Answer<N> {
     let path = match after {
         Some(revision) => format!("/api/targets?after={revision}&wait_ms={}", WAIT.as_millis()),
@@ -328,7 +332,7 @@
     let request = request.map_err(|e| e.to_string())?;
     // An agent owes a whole list at once: to wait longer for it would take up the time in which a move must be done.
     // A service for all works through its calls in turn; what is given up before its turn is work for nobody.
-    let within = if after.is_some() || matches!(way, Way::Service) { WAIT + LATE } else { LATE };
+    let within = if after.is_some() || matches!(way, DiscoveryMode::Service) { WAIT + LATE } else { LATE };
     let answer = net.timeout(within, async {
         let response = connection.sender.send_request(request).await.map_err(|e| e.to_string())?;
         if response.status() != 200 {
@@ -338,7 +342,7 @@
     });
     let body = answer.await.ok_or(SILENT)??;
     let _ = net.timeout(PAUSE, connection.sender.ready()).await;
-    let list = List::read(&body).map_err(|e| format!("unreadable list: {e}"))?;
+    let list = ServerList::read(&body).map_err(|e| format!("unreadable list: {e}"))?;
     Ok((list, connection))
 }
 
--- a/crates/mothpier/src/discovery/tests.rs
+++ b/crates/mothpier/src/discovery/tests.rs
@@ -9,11 +9,13 @@
 fn a_service_for_all_is_asked_for_changes_alone_also_after_a_break() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let agent = Way::Agent { grace: Duration::from_millis(500) };
-        for (way, first) in [(Way::Service, "GET /api/targets?after=41&"), (agent, "GET /api/targets HTTP")] {
+        let agent = DiscoveryMode::Agent { grace: Duration::from_millis(500) };
+        for (way, first) in
+            [(DiscoveryMode::Service, "GET /api/targets?after=41&"), (agent, "GET /api/targets HTTP")]
+        {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
             let (_moved, addresses) = watch::channel(listener.local_addr().unwrap());
-            let (_wanted, wishes) = watch::channel(Wanted { watch: true, calls: 1 });
+            let (_wanted, wishes) = watch::channel(DiscoveryRequest { watch: true, calls: 1 });
             let (events, _inputs) = mpsc::channel(8);
             let task = tokio::task::spawn_local(run(Tokio, addresses, way, Some(41), wishes, events));
             for _ in 0..2 {
@@ -38,9 +40,10 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (_moved, addresses) = watch::channel(listener.local_addr().unwrap());
-        let (_wanted, wishes) = watch::channel(Wanted { watch: true, calls: 1 });
+        let (_wanted, wishes) = watch::channel(DiscoveryRequest { watch: true, calls: 1 });
         let (events, mut inputs) = mpsc::channel(8);
-        let task = tokio::task::spawn_local(run(Tokio, addresses, Way::Service, Some(41), wishes, events));
+        let task =
+            tokio::task::spawn_local(run(Tokio, addresses, DiscoveryMode::Service, Some(41), wishes, events));
         let mut head = [0; 4096];
         let (mut silent, _) = listener.accept().await.unwrap();
         assert!(silent.read(&mut head).await.unwrap() > 0);
@@ -51,7 +54,7 @@
         let list = "{\"revision\":42,\"complete\":false,\"members\":[]}";
         let list = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
         anew.write_all(list.as_bytes()).await.unwrap();
-        assert!(matches!(inputs.recv().await, Some(Input::Discovery(Heard::List(_)))));
+        assert!(matches!(inputs.recv().await, Some(NodeInput::Discovery(ListUpdate::List(_)))));
         task.abort();
     });
 }
@@ -65,9 +68,9 @@
         for watched in [false, true] {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
             let (_moved, addresses) = watch::channel(listener.local_addr().unwrap());
-            let (_wanted, wishes) = watch::channel(Wanted { watch: true, calls: 1 });
+            let (_wanted, wishes) = watch::channel(DiscoveryRequest { watch: true, calls: 1 });
             let (events, mut inputs) = mpsc::channel(8);
-            let way = Way::Agent { grace: Duration::from_millis(250) };
+            let way = DiscoveryMode::Agent { grace: Duration::from_millis(250) };
             let task = tokio::task::spawn_local(run(Tokio, addresses, way, Some(41), wishes, events));
             let list = "{\"revision\":42,\"complete\":true,\"members\":[]}";
             let list = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
@@ -76,7 +79,7 @@
             assert!(silent.read(&mut head).await.unwrap() > 0);
             if watched {
                 silent.write_all(list.as_bytes()).await.unwrap();
-                assert!(matches!(inputs.recv().await, Some(Input::Discovery(Heard::List(_)))));
+                assert!(matches!(inputs.recv().await, Some(NodeInput::Discovery(ListUpdate::List(_)))));
                 assert!(silent.read(&mut head).await.unwrap() > 0, "no watch");
             }
             // More than are out at once: the first stays, in case it is answered all the same.
@@ -97,7 +100,7 @@
             assert!(others.len() - closed < CALLS, "{closed} of {} closed", others.len());
             let last = others.last_mut().unwrap();
             last.write_all(list.as_bytes()).await.unwrap();
-            assert!(matches!(inputs.recv().await, Some(Input::Discovery(Heard::List(_)))));
+            assert!(matches!(inputs.recv().await, Some(NodeInput::Discovery(ListUpdate::List(_)))));
             task.abort();
         }
     });
@@ -121,7 +124,8 @@
 #[test]
 fn a_list_that_breaks_off_trickles_or_stops_in_the_middle_is_asked_for_anew() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let (agent, service) = (Way::Agent { grace: Duration::from_millis(250) }, Way::Service);
+    let (agent, service) =
+        (DiscoveryMode::Agent { grace: Duration::from_millis(250) }, DiscoveryMode::Service);
     let [end, reset] = [false, true].map(|reset| Broken::Head { reset });
     let cases = [(agent, end), (agent, reset), (agent, Broken::Body), (agent, Broken::Silence)];
     let cases = cases.into_iter().chain([(agent, Broken::Trickle), (service, end), (service, reset)]);
@@ -136,10 +140,10 @@
     });
 }
 
-async fn taken_all_the_same(way: Way, how: Broken) {
+async fn taken_all_the_same(way: DiscoveryMode, how: Broken) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (_moved, addresses) = watch::channel(listener.local_addr().unwrap());
-    let (_wanted, wishes) = watch::channel(Wanted { watch: true, calls: 1 });
+    let (_wanted, wishes) = watch::channel(DiscoveryRequest { watch: true, calls: 1 });
     let (events, mut inputs) = mpsc::channel(8);
     let task = tokio::task::spawn_local(run(Tokio, addresses, way, Some(41), wishes, events));
     let body = "{\n  \"revision\": 42,\n  \"complete\": true,\n  \"members\": [\n  ]\n}\n";
@@ -175,7 +179,7 @@
 
 async fn answered_by_the_next(
     listener: tokio::net::TcpListener,
-    inputs: &mut mpsc::Receiver<Input>,
+    inputs: &mut mpsc::Receiver<NodeInput>,
     task: tokio::task::JoinHandle<()>,
     answer: &str,
     how: Broken,
@@ -187,7 +191,7 @@
     let heard = tokio::time::timeout(LATE, async {
         loop {
             match inputs.recv().await {
-                Some(Input::Discovery(Heard::List(list))) => return list,
+                Some(NodeInput::Discovery(ListUpdate::List(list))) => return list,
                 Some(_) => {}
                 None => panic!("{how:?}: the watch has ended"),
             }
--- a/crates/mothpier/src/drains.rs
+++ b/crates/mothpier/src/drains.rs
@@ -10,14 +10,14 @@
 use mothpier_coordination::fleet::follow::{Effect, Follower};
 use mothpier_coordination::fleet::reporter::{ReadyList, Reporter, ready_list};
 use mothpier_coordination_client::{Client, Seen, Session};
-use mothpier_membership::Line;
+use mothpier_membership::ServerRecord;
 use mothpier_net::Net;
 use tokio::sync::oneshot;
 
 use crate::config::coordination::{Coordination, Fleet};
-use crate::messages::Order;
+use crate::messages::AdminCommand;
 use crate::operations::Operations;
-use crate::phase::Whose;
+use crate::phase::DrainSource;
 
 /// One reading of all drains.
 const ASK: Duration = Duration::from_secs(5);
@@ -165,15 +165,15 @@
     /// Has it in effect when this returns.
     async fn take(&self, out: std::collections::BTreeSet<String>, own: bool) {
         if own {
-            self.operations.clone().empty(Whose::Fleet);
+            self.operations.clone().empty(DrainSource::Fleet);
         } else {
-            self.operations.refill(Whose::Fleet);
+            self.operations.refill(DrainSource::Fleet);
         }
         if out == self.effect.borrow().out {
             return;
         }
         let (tell, told) = oneshot::channel();
-        let _ = self.operations.orders.send(Order::Drained { out: out.clone(), tell }).await;
+        let _ = self.operations.orders.send(AdminCommand::FleetDrained { out: out.clone(), tell }).await;
         if told.await.is_ok() {
             let names = out.iter().map(String::as_str).collect::<Vec<_>>().join(",");
             self.net().log(format_args!("drained by the fleet: [{names}]"));
@@ -250,11 +250,12 @@
     /// The cache servers that are ready, where the node's list is another than the one that is held.
     async fn new_list(&self, held: &mut u64) -> Result<Option<ReadyList>, String> {
         let (tell, ready) = oneshot::channel();
-        let _ = self.operations.orders.send(Order::Ready { held: *held, tell }).await;
+        let _ = self.operations.orders.send(AdminCommand::ReadyServers { held: *held, tell }).await;
         let listed = ready.await.map_err(|_| "the node has ended".to_owned())?;
         let Some((number, lines)) = listed else { return Ok(None) };
         *held = number;
-        let line = |line: Line| Listed { id: line.id, zone: line.locality, up_since_ms: line.up_since_ms };
+        let line =
+            |line: ServerRecord| Listed { id: line.id, zone: line.locality, up_since_ms: line.up_since_ms };
         Ok(Some(ready_list(lines.into_iter().map(line))))
     }
 
--- a/crates/mothpier/src/event_log.rs
+++ b/crates/mothpier/src/event_log.rs
@@ -7,7 +7,7 @@
 
 use serde::Serialize;
 
-use crate::figures::{CloseReason, RefusalReason};
+use crate::metrics::{CloseReason, RefusalReason};
 
 /// The variable of the environment that asks for events.
 pub const VARIABLE: &str = "MOTHPIER_EVENTS";
--- a/crates/mothpier/src/handover.rs
+++ b/crates/mothpier/src/handover.rs
@@ -6,7 +6,7 @@
 use mothpier_coordination::{Floors, Obeyer};
 use serde::{Deserialize, Serialize};
 
-use crate::messages::List;
+use crate::messages::ServerList;
 
 /// The form written here; another one is passed over.
 const VERSION: u32 = 1;
@@ -32,7 +32,7 @@
     /// Cache servers out by hand, or back.
     hand: BTreeMap<String, Mark>,
     /// The list as it was last held, and since when.
-    list: Option<List>,
+    list: Option<ServerList>,
     #[serde(default)]
     listed: u64,
     /// The lowest fences that may act.
@@ -132,7 +132,7 @@
     }
 
     /// The list as it is held now.
-    pub fn list(&mut self, now: u64, list: List) {
+    pub fn list(&mut self, now: u64, list: ServerList) {
         // Later than what was held before, whatever the clock does.
         (self.list, self.listed) = (Some(list), now.max(self.listed + 1));
     }
@@ -148,7 +148,7 @@
     }
 
     /// The list, if it was held later than at a time.
-    pub fn take_list(&mut self) -> Option<List> {
+    pub fn take_list(&mut self) -> Option<ServerList> {
         self.list.take()
     }
 
@@ -163,14 +163,14 @@
 
 /// What a process tells the others of its node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Word {
+pub struct ProcessStatus {
     /// It takes clients.
     pub serving: bool,
     /// Descriptors that it holds.
     pub descriptors: usize,
 }
 
-impl Word {
+impl ProcessStatus {
     /// As it is written.
     pub fn text(&self) -> String {
         format!("{} {}\n", u8::from(self.serving), self.descriptors)
@@ -180,12 +180,12 @@
     pub fn read(text: &str) -> Self {
         let mut words = text.split_whitespace();
         let serving = words.next() == Some("1");
-        Word { serving, descriptors: words.next().and_then(|w| w.parse().ok()).unwrap_or_default() }
+        ProcessStatus { serving, descriptors: words.next().and_then(|w| w.parse().ok()).unwrap_or_default() }
     }
 }
 
 /// This process's part of the node: those that serve are alike.
-pub fn part(serving: bool, others: &[Word]) -> f64 {
+pub fn part(serving: bool, others: &[ProcessStatus]) -> f64 {
     let all = others.iter().filter(|w| w.serving).count() + usize::from(serving);
     1.0 / all.max(1) as f64
 }
--- a/crates/mothpier/src/handover/tests.rs
+++ b/crates/mothpier/src/handover/tests.rs
@@ -50,22 +50,22 @@
 
 #[test]
 fn processes_that_serve_are_equal_parts_of_one_node() {
-    let word = |serving| Word { serving, descriptors: 9 };
+    let word = |serving| ProcessStatus { serving, descriptors: 9 };
     assert_eq!(part(true, &[]), 1.0);
     assert_eq!(part(true, &[word(false)]), 1.0, "one that only starts takes nothing");
     assert_eq!(part(true, &[word(true)]), 0.5);
     assert_eq!(part(false, &[word(true)]), 1.0);
     assert_eq!(part(true, &[word(true), word(true)]), 1.0 / 3.0);
     for w in [word(true), word(false)] {
-        assert_eq!(Word::read(&w.text()), w);
+        assert_eq!(ProcessStatus::read(&w.text()), w);
     }
-    assert_eq!(Word::read("\0garbage"), Word::default());
+    assert_eq!(ProcessStatus::read("\0garbage"), ProcessStatus::default());
 }
 
 #[test]
 fn a_list_held_later_counts_also_where_the_wall_clock_was_set_back() {
     const HOUR_MS: u64 = 3_600_000;
-    let list = |revision| List { revision, complete: true, members: Vec::new() };
+    let list = |revision| ServerList { revision, complete: true, members: Vec::new() };
     let mut state = State::new("n0");
     state.list(10 * HOUR_MS, list(1));
     let on_disk = State::read(&state.bytes(), "n0").unwrap();
--- a/crates/mothpier/src/shelf.rs
+++ b/crates/mothpier/src/handover_store.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use crate::handover::{MOST, Word};
+use crate::handover::{MOST, ProcessStatus};
 
 /// The state.
 const STATE: &str = "mothpier.state";
@@ -19,7 +19,7 @@
 const TRIES: u32 = 100;
 
 /// A place that the processes of one node share.
-pub trait Shelf {
+pub trait HandoverStore {
     /// The state as it was last left; `None` where there is none.
     fn read(&self) -> Option<Vec<u8>>;
 
@@ -34,11 +34,11 @@
     fn tell(&self, serving: bool);
 
     /// What the others that live have told.
-    fn others(&self) -> Vec<Word>;
+    fn others(&self) -> Vec<ProcessStatus>;
 }
 
 /// A folder.
-pub struct Folder {
+pub struct DirectoryStore {
     folder: PathBuf,
     /// Tells this process from others: numbers of processes may be alike where each has a space of its own.
     tag: String,
@@ -47,7 +47,7 @@
     lock: File,
 }
 
-impl Folder {
+impl DirectoryStore {
     /// Takes a place in a folder.
     ///
     /// # Errors
@@ -68,20 +68,20 @@
             } else if locked.is_ok()
                 && fs::metadata(&own).is_ok_and(|m| lock.metadata().is_ok_and(|l| l.ino() == m.ino()))
             {
-                return Ok(Folder { folder: folder.into(), tag, own, lock });
+                return Ok(DirectoryStore { folder: folder.into(), tag, own, lock });
             }
         }
         Err(io::ErrorKind::ResourceBusy.into())
     }
 }
 
-impl Drop for Folder {
+impl Drop for DirectoryStore {
     fn drop(&mut self) {
         let _ = fs::remove_file(&self.own);
     }
 }
 
-impl Shelf for Folder {
+impl HandoverStore for DirectoryStore {
     fn read(&self) -> Option<Vec<u8>> {
         let mut bytes = Vec::new();
         let file = File::open(self.folder.join(STATE)).ok()?;
@@ -99,7 +99,7 @@
     fn tell(&self, serving: bool) {
         let mut file = &self.lock;
         let descriptors = fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
-        let word = Word { serving, descriptors };
+        let word = ProcessStatus { serving, descriptors };
         let text = word.text();
         // A reader in between finds a word that tells of nothing, and looks again soon.
         let _ = file
@@ -108,7 +108,7 @@
             .and_then(|()| file.set_len(text.len() as u64));
     }
 
-    fn others(&self) -> Vec<Word> {
+    fn others(&self) -> Vec<ProcessStatus> {
         let Ok(files) = fs::read_dir(&self.folder) else { return Vec::new() };
         let mut words = Vec::new();
         for path in files.take(MOST_FILES).filter_map(Result::ok).map(|f| f.path()) {
@@ -124,7 +124,7 @@
             }
             let mut text = String::new();
             let _ = file.take(64).read_to_string(&mut text);
-            words.push(Word::read(&text));
+            words.push(ProcessStatus::read(&text));
         }
         words
     }
--- a/crates/mothpier/src/obeying.rs
+++ b/crates/mothpier/src/lease_authority.rs
@@ -10,7 +10,7 @@
 use mothpier_net::Net;
 
 use crate::config::coordination::Coordination;
-use crate::succession::Succession;
+use crate::process_handover::ProcessHandover;
 
 /// One call of the coordinators.
 const ASK: Duration = Duration::from_secs(5);
@@ -20,27 +20,31 @@
 const AGAIN: Duration = Duration::from_secs(1);
 
 /// What it knows of leases.
-pub struct Obeying<N: Net> {
+pub struct LeaseAuthority<N: Net> {
     net: N,
     client: Rc<Client<N>>,
     obeyer: RefCell<Obeyer>,
-    succession: Option<Rc<Succession>>,
+    succession: Option<Rc<ProcessHandover>>,
 }
 
-impl<N: Net> Obeying<N> {
+impl<N: Net> LeaseAuthority<N> {
     /// One that begins and obeys nobody yet.
     ///
     /// # Errors
     ///
     /// A machine without entropy.
-    pub fn new(net: N, told: Coordination, succession: Option<Rc<Succession>>) -> Result<Rc<Self>, String> {
+    pub fn new(
+        net: N,
+        told: Coordination,
+        succession: Option<Rc<ProcessHandover>>,
+    ) -> Result<Rc<Self>, String> {
         let client = Client::new(net.clone(), told.cluster, told.coordinators)?;
         let obeyer = RefCell::new(Obeyer::new(client.draw_name()));
-        Ok(Rc::new(Obeying { net, client, obeyer, succession }))
+        Ok(Rc::new(LeaseAuthority { net, client, obeyer, succession }))
     }
 
     fn clock_ms(&self) -> u64 {
-        self.net.awake().as_millis() as u64
+        self.net.boot_time().as_millis() as u64
     }
 
     /// What its clock says, for a holder that is about to act.
@@ -62,7 +66,7 @@
         if obeyed.is_ok() {
             self.hand_over();
             // The far end of a lease: what was obeyed, by the machine's clock.
-            let at = self.net.awake().as_micros();
+            let at = self.net.boot_time().as_micros();
             self.net.log(format_args!("obeys lease={} fence={} at_us={at}", act.lease, act.fence));
         }
         obeyed.map_err(|why| why.to_string())
