--- a/crates/mothpier/src/lib.rs
+++ b/crates/mothpier/src/lib.rs
@@ -4,6 +4,7 @@
 //! other; `node` owns the decision module and drives them; [`run`] puts all together.
 
 mod accept_failure;
+mod admin_listener;
 mod binding;
 mod cancellation;
 mod clients;
@@ -11,31 +12,30 @@
 pub mod config;
 mod descriptors;
 mod discovery;
-mod door;
 mod drains;
 mod event_log;
-mod figures;
 mod guards;
 mod handover;
+mod handover_store;
 mod http;
+mod lease_authority;
 mod membership;
 mod messages;
+mod metrics;
+mod mutations;
 mod names;
 mod node;
-mod obeying;
-mod opening;
 mod operations;
 mod origin;
 mod peers;
 mod phase;
-mod plants;
+mod process_handover;
 mod resp;
+mod retry_open;
 mod servers;
-mod shelf;
+mod slot_map_fetcher;
 mod start_times;
-mod succession;
 mod time_budget;
-mod topology;
 mod write_gate;
 
 use std::cell::RefCell;
@@ -44,7 +44,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::obeying::Obeying;
+use crate::lease_authority::LeaseAuthority;
 use brassrouter::Micros;
 use mothpier_net::{Listener, Net};
 use mothpier_slots::{Pool, Tier};
@@ -55,19 +55,19 @@
 use config::{Config, Listen};
 use descriptors::Descriptors;
 use event_log::EventLog;
-use figures::Figures;
-pub use handover::Word;
+pub use handover::ProcessStatus;
+pub use handover_store::{DirectoryStore, HandoverStore};
+use metrics::Metrics;
 use node::{Node, Parts};
 use operations::Operations;
 pub use operations::{Call, Reply};
-use phase::Phase;
-pub use shelf::{Folder, Shelf};
-use succession::{Share, Succession};
+use phase::ServingPhase;
+use process_handover::{ProcessHandover, Share};
 
-pub use messages::Census;
+pub use messages::ResourceCounts;
 #[cfg(feature = "plants")]
-pub use plants::plant;
-pub use plants::{Plant, planted};
+pub use mutations::activate_mutation;
+pub use mutations::{Mutation, mutation_active};
 
 /// Inputs that wait for the node; who brings more waits in turn.
 const QUEUE: usize = 1024;
@@ -97,7 +97,7 @@
     /// A call of the operators' staff.
     Call(Call, oneshot::Sender<Reply>),
     /// Tell how much is kept.
-    Census(oneshot::Sender<Census>),
+    ResourceCounts(oneshot::Sender<ResourceCounts>),
 }
 
 /// Runs a node until it is told to stop; the error is one plain line.
@@ -110,20 +110,20 @@
     let clock = Clock::start(net.clone());
     let (events, inputs) = mpsc::channel(QUEUE);
     let site = config.site;
-    let way = match site.decisions.ask_discovery {
-        true => discovery::Way::Service,
-        false => discovery::Way::Agent { grace: Duration::from_micros(site.drain_grace) },
+    let way = match site.policy.pull_discovery {
+        true => discovery::DiscoveryMode::Service,
+        false => discovery::DiscoveryMode::Agent { grace: Duration::from_micros(site.drain_grace) },
     };
     let idle_close = Duration::from_micros(site.idle_close);
-    let connect_timeout = Duration::from_micros(site.decisions.connect_timeout);
-    let figures = Rc::new(Figures::new(&site.classes).map_err(|e| format!("cannot count: {e}"))?);
+    let connect_timeout = Duration::from_micros(site.policy.connect_timeout);
+    let figures = Rc::new(Metrics::new(&site.classes).map_err(|e| format!("cannot count: {e}"))?);
     let share = Rc::new(Share::default());
     let event_log = Rc::new(EventLog::new(config.events));
     let limits = servers::Limits {
-        balancers: site.decisions.balancers as usize,
+        balancers: site.policy.balancers as usize,
         // A request that may have one attempt out must close the connection of one given up, so that no other
         // may be on it.
-        multiplex: if site.decisions.may_duplicate { site.multiplex } else { 1 },
+        multiplex: if site.policy.may_duplicate { site.multiplex } else { 1 },
         idle_close,
         connect_timeout,
         descriptors: descriptors.servers,
@@ -134,16 +134,16 @@
         held: Arc::new(Semaphore::new(config.memory / HELD / 1024)),
     };
     config.warnings.iter().take(MOST_WARNINGS).for_each(|line| net.log(line));
-    let me = site.decisions.me as usize;
-    let telling = config.peer_listen.is_some() && site.decisions.may_tell_peers;
+    let me = site.policy.own_index as usize;
+    let telling = config.peer_listen.is_some() && site.policy.may_message_peers;
     let tier = match config.cluster {
         Some(nodes) => {
-            let tier = Tier::new(nodes, me, telling, net.wall().as_millis() as u64);
+            let tier = Tier::new(nodes, me, telling, net.unix_time().as_millis() as u64);
             Some(Rc::new(RefCell::new(tier.map_err(|e| format!("the cluster's nodes: {e}"))?)))
         }
         None => None,
     };
-    let peers = match config.peer_listen.filter(|_| site.decisions.may_tell_peers) {
+    let peers = match config.peer_listen.filter(|_| site.policy.may_message_peers) {
         Some(listen) => {
             let opened = peers::Peers::open(
                 &net,
@@ -162,7 +162,7 @@
         let (net, tier, peers) = (net.clone(), tier.clone(), peers.clone());
         move || {
             let (Some(tier), Some(peers)) = (&tier, &peers) else { return };
-            let message = tier.borrow_mut().tick(net.wall().as_millis() as u64);
+            let message = tier.borrow_mut().tick(net.unix_time().as_millis() as u64);
             if let Some(message) = message {
                 peers.tell_all(me, &message);
             }
@@ -178,12 +178,12 @@
             }
         });
     }
-    let watched = messages::Wanted { watch: !site.decisions.ask_discovery, calls: 0 };
+    let watched = messages::DiscoveryRequest { watch: !site.policy.pull_discovery, calls: 0 };
     let (wanted, wishes) = watch::channel(watched);
-    let phase = Rc::new(Phase::default());
+    let phase = Rc::new(ServingPhase::default());
     let cluster = config.boxes.map(|boxes| {
         let budget = mothpier_slots::refresh::Budget { nodes: limits.balancers, ..boxes.budget };
-        let asker = topology::Asker::new(net.clone(), boxes.wait, events.clone());
+        let asker = slot_map_fetcher::SlotMapFetcher::new(net.clone(), boxes.wait, events.clone());
         (Pool::new(boxes.read_copies, budget, config.seed, clock.now() / 1000), asker)
     });
     let membership = config.sources.as_ref().map(|sources| {
@@ -210,17 +210,19 @@
     let revision = config.known.as_ref().map(|l| l.revision);
     let inherits = config.inherited.is_some();
     let listener = match (config.inherited, &config.listen) {
-        (Some(inherited), _) => net.adopt(inherited),
+        (Some(inherited), _) => net.adopt_listener(inherited),
         (None, Listen::Address(address)) => {
-            opening::patiently(&net, async || net.listen(*address).await).await
+            retry_open::retry_open(&net, async || net.listen(*address).await).await
+        }
+        (None, Listen::Unix(place)) => {
+            retry_open::retry_open(&net, async || net.listen_unix(place).await).await
         }
-        (None, Listen::Unix(place)) => opening::patiently(&net, async || net.listen_unix(place).await).await,
     };
     let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
     let operator = config.operator;
     let door = match operator {
         Some(at) => {
-            let door = opening::patiently(&net, async || net.listen(at).await)
+            let door = retry_open::retry_open(&net, async || net.listen(at).await)
                 .await
                 .map_err(|e| format!("cannot listen on {at} for operators: {e}"))?;
             net.log(format_args!("operators are answered on {}", door.local_addr().unwrap_or(at)));
@@ -230,7 +232,7 @@
     };
     // A port that the machine chose is known only now.
     let listening = listener.local_addr().map_or(config.listen, Listen::Address);
-    let longest: Micros = site.decisions.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+    let longest: Micros = site.policy.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
     let connections = config.sidecar.as_ref().and_then(|s| s.connections).unwrap_or(usize::MAX);
     let bounds = (descriptors.clients.min(connections), config.memory / 2);
     let now = clock.clone();
@@ -258,7 +260,7 @@
     let (lives, mut node_ended) = oneshot::channel::<()>();
     let (orders, ordered) = mpsc::channel(ORDERS);
     let succession =
-        config.shelf.map(|shelf| Rc::new(Succession::open(&net, shelf, &config.name, config.sockets)));
+        config.shelf.map(|shelf| Rc::new(ProcessHandover::open(&net, shelf, &config.name, config.sockets)));
     // What the process before held is newer than what the platform wrote down.
     let known = succession.as_ref().and_then(|s| s.list()).or(config.known);
     net.spawn(async move {
@@ -296,7 +298,7 @@
     });
     let coordination = config.coordination;
     let obeying = match coordination.clone() {
-        Some(told) => Some(Obeying::new(net.clone(), told, succession.clone())?),
+        Some(told) => Some(LeaseAuthority::new(net.clone(), told, succession.clone())?),
         None => None,
     };
     let operations = Rc::new(Operations {
@@ -317,10 +319,10 @@
         net.spawn(drains.run());
     }
     if let Some(succession) = &succession {
-        net.spawn(succession::run(operations.clone(), succession.clone(), share));
+        net.spawn(process_handover::run(operations.clone(), succession.clone(), share));
     }
     if let Some(door) = door {
-        net.spawn(door::run(operations.clone(), door));
+        net.spawn(admin_listener::run(operations.clone(), door));
     }
     net.log(format_args!("{} listens on {listening}", config.name));
     loop {
@@ -340,7 +342,7 @@
                         let _ = tell.send(done.await);
                     });
                 }
-                Some(Control::Census(asked)) => census(&clients, &events, asked).await,
+                Some(Control::ResourceCounts(asked)) => census(&clients, &events, asked).await,
             },
             _ = &mut node_ended => return Err("the node ended by itself".into()),
         }
@@ -354,7 +356,7 @@
     }
     let kill = net.now() + Duration::from_micros(longest).min(LONGEST_GRACE) + KEEP_ACCEPTING;
     // What is read up to the cut may have longer than that, and so may a class.
-    let _ = events.send(messages::Input::AnswersBy(kill - FLUSH)).await;
+    let _ = events.send(messages::NodeInput::AnswerDeadline(kill - FLUSH)).await;
     // Where another process serves at the same socket, what waits there is left to it.
     let left = succession.as_ref().is_some_and(|s| s.accompanied());
     if !left {
@@ -364,7 +366,7 @@
     let all_closed = async {
         // Who waits at the limit is let in as others close.
         let _ = accepting.await;
-        while clients.count() > 0 && !planted(Plant::HastyStop) {
+        while clients.count() > 0 && !mutation_active(Mutation::HastyStop) {
             clients.one_closed().await;
         }
     };
@@ -382,7 +384,7 @@
             let (Some(discovery), Some(told)) = (discovery, config.discovery) else {
                 return net.log("configuration read again: whether there is a list is fixed at the start");
             };
-            let to = if planted(Plant::ReloadForgotten) { *discovery.borrow() } else { told };
+            let to = if mutation_active(Mutation::ReloadForgotten) { *discovery.borrow() } else { told };
             let moved = discovery.send_if_modified(|a| std::mem::replace(a, to) != to);
             let what = if moved { "now" } else { "still" };
             net.log(format_args!("configuration read again: discovery is {what} at {told}"));
@@ -394,12 +396,12 @@
 /// Asks the node how much it keeps and adds what only the clients know.
 async fn census<N: Net>(
     clients: &Clients<N>,
-    events: &mpsc::Sender<messages::Input>,
-    asked: oneshot::Sender<Census>,
+    events: &mpsc::Sender<messages::NodeInput>,
+    asked: oneshot::Sender<ResourceCounts>,
 ) {
     let (tell, told) = oneshot::channel();
-    let _ = events.send(messages::Input::Census(tell)).await;
+    let _ = events.send(messages::NodeInput::ResourceCounts(tell)).await;
     if let Ok(census) = told.await {
-        let _ = asked.send(Census { ids: clients.ids(), clients: clients.count(), ..census });
+        let _ = asked.send(ResourceCounts { ids: clients.ids(), clients: clients.count(), ..census });
     }
 }
--- a/crates/mothpier/src/main.rs
+++ b/crates/mothpier/src/main.rs
@@ -33,12 +33,12 @@
 #[cfg(feature = "plants")]
 fn plant_named_in_the_environment() {
     let Ok(name) = std::env::var("MOTHPIER_PLANT") else { return };
-    let all = mothpier::Plant::ALL.into_iter().chain(mothpier::Plant::OF_THE_SOAK);
+    let all = mothpier::Mutation::ALL.into_iter().chain(mothpier::Mutation::OF_THE_SOAK);
     let plant = all.into_iter().find(|plant| format!("{plant:?}") == name);
     if plant.is_none() {
         Tokio.log(format_args!("no planted mistake is called {name}"));
     }
-    mothpier::plant(plant);
+    mothpier::activate_mutation(plant);
 }
 
 async fn node(config: Config) -> Result<(), String> {
--- a/crates/mothpier/src/membership.rs
+++ b/crates/mothpier/src/membership.rs
@@ -4,12 +4,12 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use mothpier_membership::rumour::Rumours;
-use mothpier_membership::{Line, Phase, Settings, Sources, Word};
-use mothpier_names::View;
+use mothpier_membership::gossip::Gossip;
+use mothpier_membership::{DnsTrust, Phase, ServerRecord, Settings, Sources};
+use mothpier_names::ServiceView;
 
-use crate::messages::{List, Member};
-use crate::{Plant, planted};
+use crate::messages::{Member, ServerList};
+use crate::{Mutation, mutation_active};
 
 /// The sources of one node.
 #[derive(Clone)]
@@ -17,17 +17,18 @@
 
 impl Membership {
     pub fn new(mut settings: Settings, seed: u64, now: u64) -> Self {
-        if planted(Plant::StaleRecord) {
+        if mutation_active(Mutation::StaleRecord) {
             settings.gone_ms = 0;
         }
-        if let Some(rumours) = settings.rumours.as_mut().filter(|_| planted(Plant::EndlessRumour)) {
+        if let Some(rumours) = settings.rumours.as_mut().filter(|_| mutation_active(Mutation::EndlessRumour))
+        {
             rumours.tells = u32::MAX;
         }
         Membership(Rc::new(RefCell::new(Sources::new(settings, seed, now))))
     }
 
     /// Takes the list, whole or changes only.
-    pub fn list(&self, now: u64, list: List) {
+    pub fn list(&self, now: u64, list: ServerList) {
         let lines = list.members.into_iter().map(line).collect();
         self.0.borrow_mut().list(now, list.complete, lines);
     }
@@ -37,9 +38,9 @@
     }
 
     /// Takes what DNS says.
-    pub fn names(&self, now: u64, view: &View) {
+    pub fn names(&self, now: u64, view: &ServiceView) {
         let mut sources = self.0.borrow_mut();
-        if view.word == Word::Nothing && planted(Plant::EmptyAnswer) {
+        if view.word == DnsTrust::Nothing && mutation_active(Mutation::EmptyAnswer) {
             sources.list(now, true, Vec::new());
         }
         sources.names(now, view.word, &view.named, view.pending == 0, view.answers);
@@ -47,7 +48,7 @@
 
     /// Whether a message of another node is for the sources.
     pub fn is_message(bytes: &[u8]) -> bool {
-        Rumours::is_message(bytes)
+        Gossip::is_message(bytes)
     }
 
     pub fn heard(&self, now: u64, bytes: &[u8]) {
@@ -63,10 +64,10 @@
     }
 
     /// What changed in the view, as changes of a list, and which ids became others.
-    pub fn changes(&self, now: u64) -> (List, Vec<(String, String)>) {
+    pub fn changes(&self, now: u64) -> (ServerList, Vec<(String, String)>) {
         let changes = self.0.borrow_mut().changes(now);
         let members = changes.lines.into_iter().map(member).collect();
-        (List { revision: 0, complete: false, members }, changes.renamed)
+        (ServerList { revision: 0, complete: false, members }, changes.renamed)
     }
 
     /// What the sources say, for people.
@@ -76,13 +77,13 @@
 }
 
 /// A line of the list as the sources know it.
-pub fn line(m: Member) -> Line {
+pub fn line(m: Member) -> ServerRecord {
     let phase = match m.phase.as_str() {
         "ready" => Phase::Ready,
         "draining" => Phase::Draining,
         _ => Phase::Gone,
     };
-    Line {
+    ServerRecord {
         id: m.id,
         host_port: m.host_port,
         locality: m.locality,
@@ -95,7 +96,7 @@
 }
 
 /// A line of the sources as the list has it.
-pub fn member(l: Line) -> Member {
+pub fn member(l: ServerRecord) -> Member {
     Member {
         id: l.id,
         host_port: l.host_port,
--- a/crates/mothpier/src/messages.rs
+++ b/crates/mothpier/src/messages.rs
@@ -1,5 +1,5 @@
 //! What the parts of the node say to each other. Every part knows these and no part knows another: clients, servers,
-//! origin, discovery and peers bring an [`Input`], and the node alone drives them.
+//! origin, discovery and peers bring an [`NodeInput`], and the node alone drives them.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -8,8 +8,8 @@
 
 use brassrouter::{Request, RequestId, ServerId, Status};
 use bytes::Bytes;
-use mothpier_membership::Line;
-use mothpier_membership::hand::Refused;
+use mothpier_membership::ServerRecord;
+use mothpier_membership::admin_drain::AdminDrainError;
 use redis_protocol::resp2::types::BytesFrame;
 use serde::{Deserialize, Deserializer, Serialize};
 use tokio::sync::{mpsc, oneshot};
@@ -24,7 +24,7 @@
 pub type AttemptId = u64;
 
 /// What comes to the node from its other parts.
-pub enum Input {
+pub enum NodeInput {
     Client(ClientEvent),
     Server {
         server: ServerId,
@@ -38,9 +38,9 @@
     /// An answer of the origin has begun whose value is too large to be held; its end follows.
     OriginBegan {
         attempt: AttemptId,
-        value: Passing,
+        value: StreamedValue,
     },
-    Discovery(Heard),
+    Discovery(ListUpdate),
     Peer {
         from: u32,
         bytes: Vec<u8>,
@@ -48,31 +48,31 @@
     /// What a box of a cluster said of its slot map, with its address; `None` where nothing that can be read came.
     Topology {
         server: ServerId,
-        heard: Option<mothpier_slots::table::Heard>,
+        heard: Option<mothpier_slots::table::ServerView>,
     },
     /// What DNS says of the boxes as of now.
-    Names(mothpier_names::View),
-    Census(oneshot::Sender<Census>),
+    Names(mothpier_names::ServiceView),
+    ResourceCounts(oneshot::Sender<ResourceCounts>),
     /// The process ends: every final answer is due by then.
-    AnswersBy(Instant),
+    AnswerDeadline(Instant),
 }
 
 /// What staff want of the node: it comes by a way of its own, before all that clients ask.
-pub enum Order {
+pub enum AdminCommand {
     /// A cache server is out by hand, or may serve again; told whether that changed anything once it is so.
-    Hand { id: String, out: bool, tell: oneshot::Sender<Result<bool, Refused>> },
+    SetServerDrained { id: String, out: bool, tell: oneshot::Sender<Result<bool, AdminDrainError>> },
     /// Who is out by hand as of now, whoever was told.
-    Out(BTreeMap<String, u64>),
+    ReplaceDrained(BTreeMap<String, u64>),
     /// Who is drained by the fleet's agreement, all of them; told once it is so.
-    Drained { out: BTreeSet<String>, tell: oneshot::Sender<()> },
+    FleetDrained { out: BTreeSet<String>, tell: oneshot::Sender<()> },
     /// The cache servers that the sources say are ready, if these are others than the number says.
-    Ready { held: u64, tell: oneshot::Sender<Option<(u64, Vec<Line>)>> },
+    ReadyServers { held: u64, tell: oneshot::Sender<Option<(u64, Vec<ServerRecord>)>> },
     /// This process is so much of the node.
-    Part(f64),
+    ProcessShare(f64),
     /// The list as it is held, if that is another one than the number says.
-    List { held: u64, tell: oneshot::Sender<Option<(u64, List)>> },
+    ServerList { held: u64, tell: oneshot::Sender<Option<(u64, ServerList)>> },
     /// How many cache servers there are, and how many of them are avoided.
-    States(oneshot::Sender<(usize, usize)>),
+    StateCounts(oneshot::Sender<(usize, usize)>),
 }
 
 /// What clients tell the node.
@@ -89,17 +89,17 @@
 
 /// A value on its way: too large to be held, it is passed on in parts as they come.
 #[derive(Debug)]
-pub struct Passing {
+pub struct StreamedValue {
     pub length: usize,
     /// Ends early where the rest will not come.
     pub parts: mpsc::Receiver<Bytes>,
 }
 
-impl Passing {
+impl StreamedValue {
     /// A value of a length, and where its parts are put in: the one who reads waits for the one who writes.
-    pub fn of(length: usize) -> (mpsc::Sender<Bytes>, Passing) {
+    pub fn of(length: usize) -> (mpsc::Sender<Bytes>, StreamedValue) {
         let (put, parts) = mpsc::channel(PARTS);
-        (put, Passing { length, parts })
+        (put, StreamedValue { length, parts })
     }
 }
 
@@ -107,7 +107,7 @@
 #[derive(Debug)]
 pub enum Answer {
     Value(Bytes),
-    Passing(Passing),
+    Streamed(StreamedValue),
     /// Refused; come back after so many milliseconds.
     Busy(u64),
     Failed,
@@ -118,7 +118,7 @@
     Up,
     Answer(AttemptId, BytesFrame),
     /// An answer has begun whose value is too large to be held; the rest of it follows as an answer.
-    Began(AttemptId, Passing),
+    Began(AttemptId, StreamedValue),
     /// What came for this attempt can't be its answer; the end of the connection follows.
     Spoilt(AttemptId),
     /// The connection is no more; the attempts written whole, and those not.
@@ -138,31 +138,33 @@
 }
 
 /// What the node is told of the list.
-pub enum Heard {
-    List(List),
+pub enum ListUpdate {
+    List(ServerList),
     /// A call failed, or the watch broke.
     Failed,
 }
 
 /// A list of servers as it comes, whole or only what changed.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-pub struct List {
+pub struct ServerList {
     pub revision: u64,
     pub complete: bool,
     #[serde(deserialize_with = "members")]
     pub members: Vec<Member>,
 }
 
-impl List {
+impl ServerList {
     /// Reads a list from its JSON. Its lines are taken one by one only where one of them can't be read: that takes several
     /// times as long.
     ///
     /// # Errors
     ///
     /// What is no list, whatever its lines are.
-    pub fn read(json: &[u8]) -> serde_json::Result<List> {
+    pub fn read(json: &[u8]) -> serde_json::Result<ServerList> {
         match serde_json::from_slice(json) {
-            Ok(WellFormedList { revision, complete, members }) => Ok(List { revision, complete, members }),
+            Ok(WellFormedList { revision, complete, members }) => {
+                Ok(ServerList { revision, complete, members })
+            }
             Err(_) => serde_json::from_slice(json),
         }
     }
@@ -225,7 +227,7 @@
 
 /// What the module asks for where discovery must be asked.
 #[derive(Clone, Copy, Default, PartialEq)]
-pub struct Wanted {
+pub struct DiscoveryRequest {
     pub watch: bool,
     /// Counts the calls that are asked for beside or at the start of a watch.
     pub calls: u32,
@@ -233,7 +235,7 @@
 
 /// How much a node keeps: after quiet it is back at what it was.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Census {
+pub struct ResourceCounts {
     /// Requests without a final answer.
     pub open: usize,
     /// Attempts without an outcome.
@@ -261,7 +263,7 @@
     pub cancel: CancelToken,
     /// Given back with the command: no other request may bear its id meanwhile.
     #[allow(dead_code, reason = "held for its drop")]
-    pub claim: Claim,
+    pub claim: RequestIdClaim,
 }
 
 impl Command {
@@ -272,15 +274,15 @@
 }
 
 /// The ids of all open requests.
-pub type Ids = Rc<RefCell<HashSet<Bytes>>>;
+pub type OpenRequestIds = Rc<RefCell<HashSet<Bytes>>>;
 
 /// An id in use.
 #[derive(Debug)]
-pub struct Claim(Ids, Bytes);
+pub struct RequestIdClaim(OpenRequestIds, Bytes);
 
-impl Claim {
-    pub fn of(ids: &Ids, id: &Bytes) -> Option<Claim> {
-        ids.borrow_mut().insert(id.clone()).then(|| Claim(ids.clone(), id.clone()))
+impl RequestIdClaim {
+    pub fn of(ids: &OpenRequestIds, id: &Bytes) -> Option<RequestIdClaim> {
+        ids.borrow_mut().insert(id.clone()).then(|| RequestIdClaim(ids.clone(), id.clone()))
     }
 
     pub fn id(&self) -> &Bytes {
@@ -288,9 +290,9 @@
     }
 }
 
-impl Drop for Claim {
+impl Drop for RequestIdClaim {
     fn drop(&mut self) {
-        if crate::planted(crate::Plant::LeakedId) {
+        if crate::mutation_active(crate::Mutation::LeakedId) {
             return;
         }
         self.0.borrow_mut().remove(&self.1);
--- a/crates/mothpier/src/figures.rs
+++ b/crates/mothpier/src/metrics.rs
@@ -148,7 +148,7 @@
 
 /// Figures that others keep, at the time of a scrape.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct States {
+pub struct StateMetrics {
     /// Requests taken and not ended.
     pub pending: usize,
     /// Cache servers in the list.
@@ -158,7 +158,7 @@
 }
 
 /// The figures of one process; each begins at 0.
-pub struct Figures {
+pub struct Metrics {
     registry: Registry,
     /// By class, then by end: looked up once, for every request counts here.
     requests: Vec<[IntCounter; 3]>,
@@ -178,7 +178,7 @@
     states: [IntGauge; 3],
 }
 
-impl Figures {
+impl Metrics {
     /// All figures of all classes, at 0.
     ///
     /// # Errors
@@ -261,7 +261,7 @@
             registry.register(Box::new(gauge.clone()))?;
         }
         let requests = classes.iter().map(of).collect();
-        Ok(Figures {
+        Ok(Metrics {
             registry,
             requests,
             upstream,
@@ -338,7 +338,7 @@
     /// # Errors
     ///
     /// What the library can't put into words.
-    pub fn text(&self, now: States) -> prometheus::Result<String> {
+    pub fn text(&self, now: StateMetrics) -> prometheus::Result<String> {
         for (gauge, value) in self.states.iter().zip([now.pending, now.members, now.unavailable]) {
             gauge.set(value as i64);
         }
--- a/crates/mothpier/src/figures/tests.rs
+++ b/crates/mothpier/src/metrics/tests.rs
@@ -2,8 +2,8 @@
 
 #[test]
 fn all_figures_stand_there_from_the_start_and_count_alone() {
-    let figures = Figures::new(&["browse".into(), "send-message".into()]).unwrap();
-    let text = figures.text(States::default()).unwrap();
+    let figures = Metrics::new(&["browse".into(), "send-message".into()]).unwrap();
+    let text = figures.text(StateMetrics::default()).unwrap();
     for class in ["browse", "send-message"] {
         for result in ["completed", "rejected", "failed"] {
             let line =
@@ -15,7 +15,7 @@
     figures.ended(1, Ended::Rejected);
     figures.ended(7, Ended::Failed);
     figures.attempt();
-    let text = figures.text(States { pending: 3, members: 9, unavailable: 2 }).unwrap();
+    let text = figures.text(StateMetrics { pending: 3, members: 9, unavailable: 2 }).unwrap();
     for line in [
         "edge_router_downstream_requests_total{lane=\"send-message\",result=\"rejected\"} 1\n",
         "edge_router_upstream_requests_total 1\n",
@@ -34,11 +34,11 @@
 
 #[test]
 fn times_within_the_node_and_closes_at_servers_are_told() {
-    let figures = Figures::new(&["read".into()]).unwrap();
+    let figures = Metrics::new(&["read".into()]).unwrap();
     figures.turn("list", Duration::from_millis(30));
     figures.queued(Duration::from_millis(2));
     figures.server_closed(ServerCloseReason::Retired);
-    let text = figures.text(States::default()).unwrap();
+    let text = figures.text(StateMetrics::default()).unwrap();
     for line in [
         r#"edge_router_turn_seconds_bucket{input="list",le="0.02"} 0"#,
         r#"edge_router_turn_seconds_bucket{input="list",le="0.05"} 1"#,
--- a/crates/mothpier/src/plants.rs
+++ b/crates/mothpier/src/mutations.rs
@@ -3,7 +3,7 @@
 
 /// A planted mistake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum Mutation {
     /// A reset by the origin is taken for a connection that never came up: what may have run is sent again.
     ResetNeverRan,
     /// An answer to the client is written twice.
@@ -84,75 +84,75 @@
     TimeLeftGrows,
 }
 
-impl Plant {
+impl Mutation {
     /// Those that only the soak of real processes plays.
-    pub const OF_THE_SOAK: [Plant; 10] = [
-        Plant::StartByWall,
-        Plant::AcceptLoopEnds,
-        Plant::ListHeardOnce,
-        Plant::CloseOverUnread,
-        Plant::UnsentByGuess,
-        Plant::HalfCommandKept,
-        Plant::RepeatsUnsafe,
-        Plant::LostAnswer,
-        Plant::HalfWriteIsWhole,
-        Plant::TimeLeftGrows,
+    pub const OF_THE_SOAK: [Mutation; 10] = [
+        Mutation::StartByWall,
+        Mutation::AcceptLoopEnds,
+        Mutation::ListHeardOnce,
+        Mutation::CloseOverUnread,
+        Mutation::UnsentByGuess,
+        Mutation::HalfCommandKept,
+        Mutation::RepeatsUnsafe,
+        Mutation::LostAnswer,
+        Mutation::HalfWriteIsWhole,
+        Mutation::TimeLeftGrows,
     ];
 
     /// Those that the simulation plays.
-    pub const ALL: [Plant; 29] = [
-        Plant::ResetNeverRan,
-        Plant::DoubleAnswer,
-        Plant::DrainingIsReady,
-        Plant::DrainKeepsWaiting,
-        Plant::ShiftedAnswers,
-        Plant::LeakedId,
-        Plant::LostGiveUp,
-        Plant::BareRefusal,
-        Plant::SentAfterAnswer,
-        Plant::TierUnheard,
-        Plant::ReloadForgotten,
-        Plant::HastyStop,
-        Plant::ErrorNeverRan,
-        Plant::ColdUnknown,
-        Plant::AskNeverRan,
-        Plant::RedirectIsNews,
-        Plant::StaleMapWins,
-        Plant::LastWordLost,
-        Plant::StaleRecord,
-        Plant::EmptyAnswer,
-        Plant::ForgedAnswer,
-        Plant::NoLifetimes,
-        Plant::EndlessRumour,
-        Plant::HandForgotten,
-        Plant::KeptIdle,
-        Plant::CutIsWhole,
-        Plant::SentAfterLeft,
-        Plant::SilentCallWaits,
-        Plant::StaleTimeLeft,
+    pub const ALL: [Mutation; 29] = [
+        Mutation::ResetNeverRan,
+        Mutation::DoubleAnswer,
+        Mutation::DrainingIsReady,
+        Mutation::DrainKeepsWaiting,
+        Mutation::ShiftedAnswers,
+        Mutation::LeakedId,
+        Mutation::LostGiveUp,
+        Mutation::BareRefusal,
+        Mutation::SentAfterAnswer,
+        Mutation::TierUnheard,
+        Mutation::ReloadForgotten,
+        Mutation::HastyStop,
+        Mutation::ErrorNeverRan,
+        Mutation::ColdUnknown,
+        Mutation::AskNeverRan,
+        Mutation::RedirectIsNews,
+        Mutation::StaleMapWins,
+        Mutation::LastWordLost,
+        Mutation::StaleRecord,
+        Mutation::EmptyAnswer,
+        Mutation::ForgedAnswer,
+        Mutation::NoLifetimes,
+        Mutation::EndlessRumour,
+        Mutation::HandForgotten,
+        Mutation::KeptIdle,
+        Mutation::CutIsWhole,
+        Mutation::SentAfterLeft,
+        Mutation::SilentCallWaits,
+        Mutation::StaleTimeLeft,
     ];
 }
 
 #[cfg(feature = "plants")]
 thread_local! {
-    static PLANTED: std::cell::Cell<Option<Plant>> = const { std::cell::Cell::new(None) };
+    static PLANTED: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
 }
 
 /// Plants a mistake in all nodes of this thread, or none.
 #[cfg(feature = "plants")]
-pub fn plant(plant: Option<Plant>) {
+pub fn activate_mutation(plant: Option<Mutation>) {
     PLANTED.set(plant);
 }
 
 /// Whether a mistake is planted.
 #[cfg(feature = "plants")]
-pub fn planted(plant: Plant) -> bool {
+pub fn mutation_active(plant: Mutation) -> bool {
     PLANTED.get() == Some(plant)
 }
 
 /// Whether a mistake is planted: never here.
 #[cfg(not(feature = "plants"))]
 #[inline(always)]
-pub const fn planted(_: Plant) -> bool {
+pub const fn mutation_active(_: Mutation) -> bool {
     false
 }
--- a/crates/mothpier/src/names.rs
+++ b/crates/mothpier/src/names.rs
@@ -3,14 +3,14 @@
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::time::Duration;
 
-use mothpier_names::{Ask, Failure, Match, Resolver, Settings, Transport, View};
+use mothpier_names::{Failure, Match, Query, Resolver, ServiceView, Settings, Transport};
 use mothpier_net::{Net, Socket};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 
 use crate::clock::Clock;
-use crate::messages::Input;
-use crate::{Plant, planted};
+use crate::messages::NodeInput;
+use crate::{Mutation, mutation_active};
 
 /// A datagram may be as long as the question allows, and somewhat more to see that it is not.
 const DATAGRAM: usize = 2048;
@@ -22,8 +22,8 @@
 type End = (u64, Result<Vec<u8>, Failure>);
 
 /// Asks for as long as the node runs.
-pub async fn run<N: Net>(net: N, mut settings: Settings, clock: Clock<N>, events: mpsc::Sender<Input>) {
-    if planted(Plant::NoLifetimes) {
+pub async fn run<N: Net>(net: N, mut settings: Settings, clock: Clock<N>, events: mpsc::Sender<NodeInput>) {
+    if mutation_active(Mutation::NoLifetimes) {
         (settings.lifetimes.floor, settings.lifetimes.ceiling) = (FOR_GOOD, FOR_GOOD);
     }
     let ms = |clock: &Clock<N>| clock.now() / 1000;
@@ -39,7 +39,7 @@
         Err(e) => return net.log(format_args!("dns: {e}; not asked")),
     };
     let (ended, mut ends) = mpsc::channel::<End>(ENDS);
-    let mut told: Option<View> = None;
+    let mut told: Option<ServiceView> = None;
     let mut failing = false;
     loop {
         for ask in resolver.asks(ms(&clock)) {
@@ -56,7 +56,7 @@
         let view = resolver.view(ms(&clock));
         if told.as_ref() != Some(&view) {
             told = Some(view.clone());
-            if events.send(Input::Names(view)).await.is_err() {
+            if events.send(NodeInput::Names(view)).await.is_err() {
                 return;
             }
         }
@@ -81,7 +81,7 @@
 
 /// One datagram each way, from a port that the machine draws. What comes from elsewhere, or answers something else, is
 /// passed over: it must not end the wait for the answer (RFC 5452, section 9).
-async fn udp<N: Net>(net: &N, ask: &Ask) -> Result<Vec<u8>, Failure> {
+async fn udp<N: Net>(net: &N, ask: &Query) -> Result<Vec<u8>, Failure> {
     let any: SocketAddr = match ask.server {
         SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
         SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
@@ -92,7 +92,7 @@
     loop {
         let (length, from) = socket.recv_from(&mut buffer).await.map_err(|_| Failure::Broken)?;
         let mut bytes = buffer[..length].to_vec();
-        if planted(Plant::ForgedAnswer) && length > 2 {
+        if mutation_active(Mutation::ForgedAnswer) && length > 2 {
             bytes[..2].copy_from_slice(&ask.question.id.to_be_bytes());
             return Ok(bytes);
         }
@@ -103,7 +103,7 @@
 }
 
 /// A message each way on a connection of its own, with its length before it (RFC 1035, section 4.2.2).
-async fn tcp<N: Net>(net: &N, ask: &Ask) -> Result<Vec<u8>, Failure> {
+async fn tcp<N: Net>(net: &N, ask: &Query) -> Result<Vec<u8>, Failure> {
     let broken = |_| Failure::Broken;
     let mut stream = net.connect(ask.server).await.map_err(broken)?;
     let length = u16::try_from(ask.bytes.len()).map_err(|_| Failure::Broken)?;
--- a/crates/mothpier/src/node.rs
+++ b/crates/mothpier/src/node.rs
@@ -10,27 +10,32 @@
 use std::time::{Duration, Instant};
 
 use brassrouter::settings::Site;
-use brassrouter::{Action, Effect, Event, ListKind, Micros, Note, Policy, RequestId, ServerId, Status};
-use mothpier_membership::hand::Hand;
+use brassrouter::{
+    Action, CacheLookup, Effect, Event, ListKind, Micros, Policy, RequestId, ServerId, Status,
+};
+use mothpier_membership::admin_drain::AdminDrains;
 use mothpier_net::Net;
 use mothpier_slots::{Pool, slot_of};
 use tokio::sync::{mpsc, oneshot, watch};
 
 use self::attempts::load;
 use crate::clock::Clock;
-use crate::discovery::Numbers;
+use crate::discovery::ServerNumbers;
 use crate::event_log::{Event as Logged, EventLog};
-use crate::figures::{Figures, RefusalReason};
 use crate::guards::Invariant;
 use crate::membership::Membership;
-use crate::messages::{Answer, AttemptId, Census, ClientEvent, Command, Heard, Input, List, Order, Wanted};
+use crate::messages::{
+    AdminCommand, Answer, AttemptId, ClientEvent, Command, DiscoveryRequest, ListUpdate, NodeInput,
+    ResourceCounts, ServerList,
+};
+use crate::metrics::{Metrics, RefusalReason};
 use crate::origin::{self, Origins};
 use crate::peers::Peers;
-use crate::phase::Phase;
+use crate::phase::ServingPhase;
 use crate::servers::Servers;
+use crate::slot_map_fetcher::SlotMapFetcher;
 use crate::start_times::StartTimes;
-use crate::topology::Asker;
-use crate::{Plant, planted};
+use crate::{Mutation, mutation_active};
 
 /// A request that is refused within this time of its coming was turned away at once.
 const AT_ONCE: Duration = Duration::from_millis(5);
@@ -84,8 +89,8 @@
 
 /// What the node takes in next.
 enum Turn {
-    Order(Order),
-    Input(Input),
+    Order(AdminCommand),
+    Input(NodeInput),
     /// A wake-up is due.
     Timer,
 }
@@ -96,14 +101,14 @@
         match self {
             Turn::Order(_) => "order",
             Turn::Timer => "timer",
-            Turn::Input(Input::Client(ClientEvent::Asked { .. })) => "request",
-            Turn::Input(Input::Client(ClientEvent::Gone(_))) => "client_gone",
-            Turn::Input(Input::Server { .. }) => "server",
-            Turn::Input(Input::Origin { .. } | Input::OriginBegan { .. }) => "origin",
-            Turn::Input(Input::Discovery(_) | Input::Names(_)) => "list",
-            Turn::Input(Input::Peer { .. }) => "peer",
-            Turn::Input(Input::Topology { .. }) => "topology",
-            Turn::Input(Input::Census(_) | Input::AnswersBy(_)) => "control",
+            Turn::Input(NodeInput::Client(ClientEvent::Asked { .. })) => "request",
+            Turn::Input(NodeInput::Client(ClientEvent::Gone(_))) => "client_gone",
+            Turn::Input(NodeInput::Server { .. }) => "server",
+            Turn::Input(NodeInput::Origin { .. } | NodeInput::OriginBegan { .. }) => "origin",
+            Turn::Input(NodeInput::Discovery(_) | NodeInput::Names(_)) => "list",
+            Turn::Input(NodeInput::Peer { .. }) => "peer",
+            Turn::Input(NodeInput::Topology { .. }) => "topology",
+            Turn::Input(NodeInput::ResourceCounts(_) | NodeInput::AnswerDeadline(_)) => "control",
         }
     }
 }
@@ -111,16 +116,16 @@
 /// The parts that the node drives.
 pub struct Parts<N: Net> {
     /// Where the servers form a cluster: what is known of it, and who asks.
-    pub cluster: Option<(Pool, Asker<N>)>,
+    pub cluster: Option<(Pool, SlotMapFetcher<N>)>,
     pub servers: Servers<N>,
     pub origins: Origins<N>,
     pub peers: Option<Rc<Peers<N>>>,
     /// Where there are more sources of boxes than the list.
     pub membership: Option<Membership>,
-    pub wanted: watch::Sender<Wanted>,
-    pub phase: Rc<Phase>,
+    pub wanted: watch::Sender<DiscoveryRequest>,
+    pub phase: Rc<ServingPhase>,
     /// Where retries and broken rules are counted.
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     /// Where what befalls requests is logged.
     pub event_log: Rc<EventLog>,
 }
@@ -132,10 +137,10 @@
     site: Site,
     clock: Clock<N>,
     parts: Parts<N>,
-    numbers: Numbers,
+    numbers: ServerNumbers,
     start_times: StartTimes,
     /// Who is out by hand, before anything is made of the list.
-    hand: Hand,
+    hand: AdminDrains,
     /// How many lists and changes of it have come.
     lists: u64,
     origin_ids: HashSet<ServerId>,
@@ -156,17 +161,17 @@
 
 impl<N: Net> Node<N> {
     pub fn new(net: N, site: Site, seed: u64, clock: Clock<N>, parts: Parts<N>) -> Self {
-        let origin = site.decisions.origin_kind.and_then(|k| site.kinds.get(usize::from(k)).cloned());
-        let start_times = StartTimes::new(site.decisions.warm_up);
+        let origin = site.policy.origin_kind.and_then(|k| site.kinds.get(usize::from(k)).cloned());
+        let start_times = StartTimes::new(site.policy.warm_up);
         Node {
-            hand: Hand::new(origin),
+            hand: AdminDrains::new(origin),
             lists: 0,
             net,
-            policy: Policy::new(site.decisions.clone(), seed),
+            policy: Policy::new(site.policy.clone(), seed),
             site,
             clock,
             parts,
-            numbers: Numbers::default(),
+            numbers: ServerNumbers::default(),
             start_times,
             origin_ids: HashSet::new(),
             open: HashMap::new(),
@@ -184,11 +189,11 @@
     /// Runs until every sender of inputs is gone.
     pub async fn run(
         mut self,
-        known: Option<List>,
-        mut inputs: mpsc::Receiver<Input>,
-        mut orders: mpsc::Receiver<Order>,
+        known: Option<ServerList>,
+        mut inputs: mpsc::Receiver<NodeInput>,
+        mut orders: mpsc::Receiver<AdminCommand>,
     ) {
-        let known = known.unwrap_or(List { revision: 0, complete: true, members: Vec::new() });
+        let known = known.unwrap_or(ServerList { revision: 0, complete: true, members: Vec::new() });
         self.heard_list(known, ListKind::Cached);
         self.settle();
         self.plan_refresh();
@@ -252,22 +257,22 @@
         }
     }
 
-    fn input(&mut self, input: Input) {
+    fn input(&mut self, input: NodeInput) {
         match input {
             // Who asked has gone: nothing is begun for it.
-            Input::Client(ClientEvent::Asked { answer, .. }) if answer.is_closed() => {}
-            Input::Client(ClientEvent::Asked { mut request, command, answer, read }) => {
+            NodeInput::Client(ClientEvent::Asked { answer, .. }) if answer.is_closed() => {}
+            NodeInput::Client(ClientEvent::Asked { mut request, command, answer, read }) => {
                 let waited = self.net.since(read);
                 self.parts.figures.queued(waited);
                 request.time_left = request.time_left.saturating_sub(waited.as_micros() as Micros);
-                if planted(Plant::TimeLeftGrows) {
+                if mutation_active(Mutation::TimeLeftGrows) {
                     request.time_left += 1_000_000;
                 }
                 let ends = self.net.now() + Duration::from_micros(request.time_left);
                 let slot = self.parts.cluster.is_some().then(|| slot_of(&command.key));
                 request.slot = slot;
                 let command = command.into();
-                let effect = self.site.decisions.classes[request.class].effect;
+                let effect = self.site.policy.classes[request.class].effect;
                 let open = Open {
                     command,
                     answer,
@@ -284,24 +289,25 @@
                 self.open.insert(request.id, open);
                 self.events.push_back(Event::Request(request));
             }
-            Input::Client(ClientEvent::Gone(id)) => self.gone(id),
-            Input::AnswersBy(at) => {
+            NodeInput::Client(ClientEvent::Gone(id)) => self.gone(id),
+            NodeInput::AnswerDeadline(at) => {
                 self.open.values_mut().for_each(|open| open.ends = open.ends.min(at));
                 let left = at.saturating_duration_since(self.net.now()).as_micros() as Micros;
-                self.events.push_back(Event::AnswersBy(self.clock.now() + left));
+                self.events.push_back(Event::AnswerDeadline(self.clock.now() + left));
             }
-            Input::Server { server, number, event } => {
+            NodeInput::Server { server, number, event } => {
                 for (attempt, ended) in self.parts.servers.event(server, number, event) {
                     self.server_ended(attempt, ended);
                 }
             }
-            Input::OriginBegan { attempt, value } => self.began(attempt, value),
-            Input::Origin { attempt, ended } => {
+            NodeInput::OriginBegan { attempt, value } => self.began(attempt, value),
+            NodeInput::Origin { attempt, ended } => {
                 let load = load(&self.site, &ended.load);
-                self.end(attempt, ended.status, Note::None, load, Some(ended.value));
+                self.end(attempt, ended.status, CacheLookup::None, load, Some(ended.value));
             }
-            Input::Discovery(Heard::List(_)) if planted(Plant::ListHeardOnce) && self.lists > 1 => {}
-            Input::Discovery(Heard::List(list)) => {
+            NodeInput::Discovery(ListUpdate::List(_))
+                if mutation_active(Mutation::ListHeardOnce) && self.lists > 1 => {}
+            NodeInput::Discovery(ListUpdate::List(list)) => {
                 self.parts.phase.listed();
                 let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
                 self.heard_list(list, kind);
@@ -309,50 +315,50 @@
                     self.start_times.listed();
                 }
             }
-            Input::Discovery(Heard::Failed) => {
+            NodeInput::Discovery(ListUpdate::Failed) => {
                 if let Some(membership) = &self.parts.membership {
                     membership.list_out();
                 }
                 // Only one that asks is told so; what is pushed goes on by itself.
-                if self.site.decisions.ask_discovery {
+                if self.site.policy.pull_discovery {
                     self.parts.wanted.send_modify(|w| w.watch = false);
                     self.events.push_back(Event::ServerList { kind: ListKind::Failed, servers: Vec::new() });
                 }
             }
-            Input::Census(asked) => {
-                let _ = asked.send(Census {
+            NodeInput::ResourceCounts(asked) => {
+                let _ = asked.send(ResourceCounts {
                     open: self.open.len(),
                     flights: self.flights.len(),
                     pools: self.parts.servers.len() + self.parts.origins.len(),
                     servers: self.numbers.len(),
-                    ..Census::default()
+                    ..ResourceCounts::default()
                 });
             }
-            Input::Topology { server, heard } => self.topology(server, heard),
-            Input::Names(view) => {
+            NodeInput::Topology { server, heard } => self.topology(server, heard),
+            NodeInput::Names(view) => {
                 if let Some(membership) = &self.parts.membership {
                     membership.names(self.clock.now() / 1000, &view);
                     self.view_boxes(ListKind::Delta);
                 }
             }
-            Input::Peer { bytes, .. } if Membership::is_message(&bytes) => {
+            NodeInput::Peer { bytes, .. } if Membership::is_message(&bytes) => {
                 if let Some(membership) = &self.parts.membership {
                     membership.heard(self.clock.now() / 1000, &bytes);
                     self.view_boxes(ListKind::Delta);
                 }
             }
-            Input::Peer { from, bytes } => self.events.push_back(Event::PeerMessage { from, bytes }),
+            NodeInput::Peer { from, bytes } => self.events.push_back(Event::PeerMessage { from, bytes }),
         }
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, server, give_up_after, asking } => {
+            Action::Send { request, server, timeout: give_up_after, asking } => {
                 self.send(request, server, give_up_after, asking)
             }
             Action::Refuse { request, retry_after } => {
                 let wait = retry_after.min(self.site.max_retry_after).div_ceil(1000);
-                let wait = if planted(Plant::BareRefusal) { 0 } else { wait };
+                let wait = if mutation_active(Mutation::BareRefusal) { 0 } else { wait };
                 self.note_refusal(request, wait);
                 self.answer(request, Answer::Busy(wait));
             }
@@ -384,7 +390,7 @@
                 self.parts.origins.close_idle(server)
             }
             Action::CloseIdle(server) => self.parts.servers.close_idle(server),
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 if let Some(peers) = &self.parts.peers {
                     peers.tell(to, &bytes);
                 }
@@ -396,7 +402,7 @@
 
     fn answer(&mut self, request: RequestId, answer: Answer) {
         if let Some(open) = self.open.remove(&request) {
-            if planted(Plant::LostAnswer) && request.is_multiple_of(100) {
+            if mutation_active(Mutation::LostAnswer) && request.is_multiple_of(100) {
                 return std::mem::forget(open);
             }
             // A client that has just gone needs none.
--- a/crates/mothpier/src/node/attempts.rs
+++ b/crates/mothpier/src/node/attempts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use brassrouter::settings::Site;
-use brassrouter::{Event, Load, LoadField, Micros, Note, Outcome, RequestId, ServerId, Status};
+use brassrouter::{CacheLookup, Event, Load, LoadField, Micros, Outcome, RequestId, ServerId, Status};
 use bytes::Bytes;
 use mothpier_net::Net;
 use redis_protocol::resp2::types::BytesFrame;
@@ -13,10 +13,10 @@
 use super::{Due, Flight, Node, Open, status_name};
 use crate::event_log::Event as Logged;
 use crate::guards::{self, Invariant};
-use crate::messages::{Answer, AttemptId, Passing};
+use crate::messages::{Answer, AttemptId, StreamedValue};
 use crate::servers::{self, Ended, Payload};
 use crate::time_budget::TimeBudget;
-use crate::{Plant, planted, resp};
+use crate::{Mutation, mutation_active, resp};
 
 /// A probe without answer after this time has failed.
 const PROBE_WAIT: Duration = Duration::from_millis(250);
@@ -29,7 +29,7 @@
     /// Takes back those attempts of a request that is over which have not begun to be written: nothing more is sent
     /// for it. What has begun goes on, or the connection would be lost to all that it carries.
     pub(super) fn withdraw(&mut self, attempts: Vec<AttemptId>) {
-        if planted(Plant::SentAfterAnswer) {
+        if mutation_active(Mutation::SentAfterAnswer) {
             return;
         }
         for id in attempts {
@@ -39,7 +39,7 @@
                 None => flight.call.is_none() && self.parts.servers.withdraw(flight.server, id),
             };
             if unsent {
-                self.end(id, Status::NotSent, Note::None, Load::default(), None);
+                self.end(id, Status::NotSent, CacheLookup::None, Load::default(), None);
             }
         }
     }
@@ -61,7 +61,7 @@
             return self.violated(Invariant::SendAfterEnd, request);
         };
         let number = open.attempts;
-        let most = self.site.decisions.max_attempts;
+        let most = self.site.policy.max_attempts;
         let (may_have_run, effect) = (open.may_have_run, open.effect);
         let attempt = guards::Attempt { made: number.into(), most, may_have_run, effect };
         let allowed = guards::may_send(&attempt);
@@ -83,7 +83,7 @@
             Flight { attempt: Some((request, number)), server, sent, call: None, asking, began: false };
         self.flights.insert(id, flight);
         // The word that a client has gone comes behind all that others ask; that it no longer waits is known at once.
-        let gone = open_is_left(&self.open, request) && !planted(Plant::SentAfterLeft);
+        let gone = open_is_left(&self.open, request) && !mutation_active(Mutation::SentAfterLeft);
         if gone {
             self.gone(request);
         }
@@ -91,7 +91,7 @@
             self.violated(invariant, request);
         }
         if gone || allowed.is_err() || wait.is_zero() {
-            return self.end(id, Status::NotSent, Note::None, Load::default(), None);
+            return self.end(id, Status::NotSent, CacheLookup::None, Load::default(), None);
         }
         let budget = TimeBudget { command, deadline: sent + wait };
         let out = if self.origin_ids.contains(&server) {
@@ -103,13 +103,13 @@
             let payload = Payload::Request(budget);
             self.parts.servers.send(server, servers::Command { attempt: id, payload, asking })
         };
-        if out && planted(Plant::LostGiveUp) {
+        if out && mutation_active(Mutation::LostGiveUp) {
             return;
         }
         if out {
             self.wake(wait, Due::GiveUp(id));
         } else {
-            self.end(id, Status::ConnectFailed, Note::None, Load::default(), None);
+            self.end(id, Status::ConnectFailed, CacheLookup::None, Load::default(), None);
         }
     }
 
@@ -125,7 +125,7 @@
         if out {
             self.wake(PROBE_WAIT, Due::GiveUp(id));
         } else {
-            self.end(id, Status::ConnectFailed, Note::None, Load::default(), None);
+            self.end(id, Status::ConnectFailed, CacheLookup::None, Load::default(), None);
         }
     }
 
@@ -137,9 +137,9 @@
             Some(call) => call.give_up(),
             None => self.parts.servers.give_up(server, id),
         };
-        let written = written && !planted(Plant::UnsentByGuess);
+        let written = written && !mutation_active(Mutation::UnsentByGuess);
         let status = if written { status } else { Status::NotSent };
-        self.end(id, status, Note::None, Load::default(), None);
+        self.end(id, status, CacheLookup::None, Load::default(), None);
     }
 
     /// Reads a cache server's answer as the protocol's table of outcomes says.
@@ -147,15 +147,17 @@
         let frame = match ended {
             Ended::Reset => {
                 let asked = self.flights.get(&attempt).is_some_and(|f| f.asking);
-                let never = asked && planted(Plant::AskNeverRan);
+                let never = asked && mutation_active(Mutation::AskNeverRan);
                 let status = if never { Status::ConnectFailed } else { Status::Reset };
-                return self.end(attempt, status, Note::None, Load::default(), None);
+                return self.end(attempt, status, CacheLookup::None, Load::default(), None);
             }
             Ended::NotConnected => {
-                return self.end(attempt, Status::ConnectFailed, Note::None, Load::default(), None);
+                return self.end(attempt, Status::ConnectFailed, CacheLookup::None, Load::default(), None);
             }
             // It has run, whatever it was that came back.
-            Ended::Spoilt => return self.end(attempt, Status::Error, Note::None, Load::default(), None),
+            Ended::Spoilt => {
+                return self.end(attempt, Status::Error, CacheLookup::None, Load::default(), None);
+            }
             Ended::Began(value) => return self.began(attempt, value),
             Ended::Answered(frame) => frame,
         };
@@ -167,10 +169,10 @@
                     _ => None,
                 };
                 let note = match text(parts.next()).as_deref() {
-                    Some("hit") => Note::Hit,
-                    Some("miss") => Note::Miss,
-                    Some("pending") => Note::MissBeingFetched,
-                    _ => Note::None,
+                    Some("hit") => CacheLookup::Hit,
+                    Some("miss") => CacheLookup::Miss,
+                    Some("pending") => CacheLookup::MissFetchPending,
+                    _ => CacheLookup::None,
                 };
                 let load = text(parts.next()).map(|l| load(&self.site, &l)).unwrap_or_default();
                 let status = if value.is_some() { Status::Served } else { Status::Miss };
@@ -180,41 +182,56 @@
             BytesFrame::BulkString(value)
                 if self.flights.get(&attempt).is_some_and(|f| f.attempt.is_some()) =>
             {
-                self.end(attempt, Status::Served, Note::None, Load::default(), Some(value));
+                self.end(attempt, Status::Served, CacheLookup::None, Load::default(), Some(value));
             }
             BytesFrame::BulkString(report) => {
                 let load = load(&self.site, &String::from_utf8_lossy(&report));
-                self.end(attempt, Status::Served, Note::None, load, None);
+                self.end(attempt, Status::Served, CacheLookup::None, load, None);
             }
             BytesFrame::Error(line) => {
                 if let Some(status) = self.cluster_said(attempt, &line) {
-                    return self.end(attempt, status, Note::None, Load::default(), None);
+                    return self.end(attempt, status, CacheLookup::None, Load::default(), None);
                 }
                 let load = line.rsplit(' ').next().map(|l| load(&self.site, l)).unwrap_or_default();
                 let busy = line.split(' ').next() == Some("BUSY");
                 if !busy && !line.starts_with("ERR failed") {
                     self.net.log(format_args!("a cache server answers {:?}", line));
                 }
-                self.end(attempt, if busy { Status::Full } else { Status::Error }, Note::None, load, None);
+                self.end(
+                    attempt,
+                    if busy { Status::Full } else { Status::Error },
+                    CacheLookup::None,
+                    load,
+                    None,
+                );
             }
-            _ => self.end(attempt, Status::Error, Note::None, Load::default(), None),
+            _ => self.end(attempt, Status::Error, CacheLookup::None, Load::default(), None),
         }
     }
 
     /// The answer to an attempt has begun with a value too large to be held. If it is the first for its request it is the
     /// answer, from here on the client's alone: no other is made, and its time is not up while the rest comes. What nobody
     /// waits for is not taken.
-    pub(super) fn began(&mut self, id: AttemptId, value: Passing) {
+    pub(super) fn began(&mut self, id: AttemptId, value: StreamedValue) {
         let Some(flight) = self.flights.get_mut(&id) else { return };
         flight.began = true;
         let (server, took) = (flight.server, self.net.since(flight.sent).as_micros() as Micros);
         let Some((request, attempt)) = flight.attempt else { return };
         let over = !self.open.contains_key(&request);
         if !over {
-            self.answer(request, Answer::Passing(value));
+            self.answer(request, Answer::Streamed(value));
         }
-        let (status, note, load) = (Status::Served, Note::None, Load::default());
-        let outcome = Outcome { request, attempt, server, status, over, note, took, load };
+        let (status, note, load) = (Status::Served, CacheLookup::None, Load::default());
+        let outcome = Outcome {
+            request,
+            attempt,
+            server,
+            status,
+            request_finished: over,
+            lookup: note,
+            elapsed: took,
+            load,
+        };
         self.events.push_back(Event::Outcome(outcome));
     }
 
@@ -223,12 +240,13 @@
         &mut self,
         id: AttemptId,
         status: Status,
-        note: Note,
+        note: CacheLookup,
         load: Load,
         value: Option<Bytes>,
     ) {
         let may_have_run = matches!(status, Status::Reset | Status::TimedOut | Status::Error);
-        let status = if may_have_run && planted(Plant::RepeatsUnsafe) { Status::NotSent } else { status };
+        let status =
+            if may_have_run && mutation_active(Mutation::RepeatsUnsafe) { Status::NotSent } else { status };
         let Some(flight) = self.flights.remove(&id).filter(|f| !f.began) else { return };
         if let Some((pool, _)) = &mut self.parts.cluster
             && matches!(status, Status::Served | Status::Miss)
@@ -237,11 +255,16 @@
             && let Some(held) = pool.moved(slot, flight.server)
         {
             let ranges = slot_ranges(vec![held]);
-            self.events.push_back(Event::Slots { whole: false, ranges });
+            self.events.push_back(Event::SlotMap { whole: false, ranges });
         }
         let (server, took) = (flight.server, self.net.since(flight.sent).as_micros() as Micros);
         let Some((request, attempt)) = flight.attempt else {
-            return self.events.push_back(Event::Probed { server, ok: status == Status::Served, took, load });
+            return self.events.push_back(Event::ProbeFinished {
+                server,
+                ok: status == Status::Served,
+                took,
+                load,
+            });
         };
         if let Some(open) = self.open.get_mut(&request) {
             open.last = Some(status);
@@ -257,9 +280,9 @@
             attempt,
             server,
             status,
-            over,
-            note,
-            took,
+            request_finished: over,
+            lookup: note,
+            elapsed: took,
             load,
         }));
     }
@@ -273,7 +296,7 @@
 /// A load report: names and values, in the order that the settings give.
 pub(super) fn load(site: &Site, report: &str) -> Load {
     let mut load = Load::default();
-    for (name, field) in site.load_fields.iter().zip(&site.decisions.load_fields).take(load.values.len()) {
+    for (name, field) in site.load_fields.iter().zip(&site.policy.load_fields).take(load.values.len()) {
         let most = if *field == LoadField::Busy { MOST_LOAD.0 } else { MOST_LOAD.1 };
         let value = report.split(',').filter_map(|p| p.trim().split_once('=')).find(|(n, _)| n == name);
         // Reports come spoilt, too: a figure that no load can have must not reach the module's averages.
--- a/crates/mothpier/src/node/cluster.rs
+++ b/crates/mothpier/src/node/cluster.rs
@@ -6,12 +6,12 @@
 
 use brassrouter::{Event, ListKind, ServerId, SlotRange, Status};
 use mothpier_net::Net;
-use mothpier_slots::pool::Word;
-use mothpier_slots::table::Held;
+use mothpier_slots::pool::ErrorMeaning;
+use mothpier_slots::table::SlotAssignment;
 
 use super::{Due, Node};
 use crate::messages::AttemptId;
-use crate::{Plant, planted};
+use crate::{Mutation, mutation_active};
 
 /// What boxes of a cluster answer that should not be is logged at most so often: a box that does it does it always.
 const SAID: Duration = Duration::from_secs(1);
@@ -29,29 +29,31 @@
         let servers = &self.parts.servers;
         let word = pool.said(self.clock.now() / 1000, line, slot, from, &|address| servers.at(address))?;
         let status = match &word {
-            Word::Redirected { to, ask } => {
+            ErrorMeaning::Redirected { to, ask } => {
                 if let Some(open) = &mut open {
                     open.moved = to.filter(|_| !ask);
                 }
                 Status::Redirected { to: *to, ask: *ask }
             }
-            Word::TurnedAway(_) => Status::Full,
+            ErrorMeaning::TurnedAway(_) => Status::Full,
             // Nothing that can't be read proves that it has not run.
-            Word::Unreadable(_) | Word::OtherSlot(_) => Status::Error,
+            ErrorMeaning::Unreadable(_) | ErrorMeaning::OtherSlot(_) => Status::Error,
         };
         let odd = match &word {
-            Word::Unreadable(why) => Some(why.to_string()),
-            Word::OtherSlot(slot) => Some(format!("it is of slot {slot}, which was not asked for")),
-            Word::Redirected { to: None, .. } => Some("no server of the list takes requests there".into()),
-            Word::Redirected { .. } | Word::TurnedAway(_) => None,
+            ErrorMeaning::Unreadable(why) => Some(why.to_string()),
+            ErrorMeaning::OtherSlot(slot) => Some(format!("it is of slot {slot}, which was not asked for")),
+            ErrorMeaning::Redirected { to: None, .. } => {
+                Some("no server of the list takes requests there".into())
+            }
+            ErrorMeaning::Redirected { .. } | ErrorMeaning::TurnedAway(_) => None,
         };
         let now = self.net.now();
         if let Some(odd) = odd.filter(|_| self.said_at.is_none_or(|at| now >= at + SAID)) {
             self.said_at = Some(now);
             self.net.log(format_args!("a cache server at {from} answers {line:.80?}, not followed: {odd}"));
         }
-        if let Word::Redirected { to: Some(to), .. } = word
-            && planted(Plant::RedirectIsNews)
+        if let ErrorMeaning::Redirected { to: Some(to), .. } = word
+            && mutation_active(Mutation::RedirectIsNews)
         {
             self.believe(to);
         }
@@ -63,7 +65,7 @@
     pub(super) fn believe(&mut self, to: ServerId) {
         let address = self.parts.servers.address(to);
         self.parts.servers.listed(to, address, true);
-        let line = brassrouter::ServerLine { id: to, ..brassrouter::ServerLine::default() };
+        let line = brassrouter::ServerEntry { id: to, ..brassrouter::ServerEntry::default() };
         self.events.push_back(Event::ServerList { kind: ListKind::Delta, servers: vec![line] });
     }
 
@@ -93,10 +95,14 @@
     }
 
     /// What a server said of the slot map, or that it said nothing of use.
-    pub(super) fn topology(&mut self, server: ServerId, mut heard: Option<mothpier_slots::table::Heard>) {
+    pub(super) fn topology(
+        &mut self,
+        server: ServerId,
+        mut heard: Option<mothpier_slots::table::ServerView>,
+    ) {
         let Some((pool, asker)) = &mut self.parts.cluster else { return };
         asker.ended(server);
-        if let Some((_, view)) = heard.as_mut().filter(|_| planted(Plant::StaleMapWins)) {
+        if let Some((_, view)) = heard.as_mut().filter(|_| mutation_active(Mutation::StaleMapWins)) {
             view.epoch = u64::MAX - view.epoch;
         }
         let servers = &self.parts.servers;
@@ -108,13 +114,13 @@
                 self.net.log("no slot map from any cache server asked, or an older one: the one held stays");
             } else {
                 let ranges = slot_ranges(pool.ranges());
-                self.events.push_back(Event::Slots { whole: true, ranges });
+                self.events.push_back(Event::SlotMap { whole: true, ranges });
             }
         }
         self.plan_refresh();
     }
 }
 
-pub(super) fn slot_ranges(held: Vec<Held>) -> Vec<SlotRange> {
+pub(super) fn slot_ranges(held: Vec<SlotAssignment>) -> Vec<SlotRange> {
     held.into_iter().map(|h| SlotRange { first: h.first, last: h.last, servers: h.boxes }).collect()
 }
--- a/crates/mothpier/src/node/lists.rs
+++ b/crates/mothpier/src/node/lists.rs
@@ -4,21 +4,21 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use brassrouter::{Condition, Event, ListKind, Load, Note, ServerId, Status};
-use mothpier_membership::Line;
-use mothpier_membership::hand::Refused;
+use brassrouter::{CacheLookup, Condition, Event, ListKind, Load, ServerId, Status};
+use mothpier_membership::ServerRecord;
+use mothpier_membership::admin_drain::AdminDrainError;
 use mothpier_net::Net;
 
 use super::cluster::slot_ranges;
 use super::{Due, Node};
 use crate::event_log::Event as Logged;
 use crate::membership;
-use crate::messages::{List, Order, UNREADABLE};
-use crate::{Plant, planted};
+use crate::messages::{AdminCommand, ServerList, UNREADABLE};
+use crate::{Mutation, mutation_active};
 
 impl<N: Net> Node<N> {
     /// Takes the list: as it is, or as one source of boxes among others.
-    pub(super) fn heard_list(&mut self, mut list: List, kind: ListKind) {
+    pub(super) fn heard_list(&mut self, mut list: ServerList, kind: ListKind) {
         list.members.retain(|m| {
             if m.phase == UNREADABLE {
                 let net = &self.net;
@@ -47,7 +47,7 @@
             self.parts.servers.renamed(old, new);
         }
         if let (Some(peers), Some(message)) = (&self.parts.peers, membership.tell(now)) {
-            peers.tell_all(self.site.decisions.me as usize, &message);
+            peers.tell_all(self.site.policy.own_index as usize, &message);
         }
         let due = membership.due(now);
         if kind != ListKind::Delta || !list.members.is_empty() {
@@ -62,36 +62,36 @@
     }
 
     /// Carries out what staff want; they are told when it is so.
-    pub(super) fn order(&mut self, order: Order) {
+    pub(super) fn order(&mut self, order: AdminCommand) {
         match order {
-            Order::Hand { id, out, tell } => {
+            AdminCommand::SetServerDrained { id, out, tell } => {
                 let done = self.by_hand(&id, out);
                 let _ = tell.send(done);
             }
-            Order::Out(out) => {
+            AdminCommand::ReplaceDrained(out) => {
                 let lines = self.hand.take_over(self.clock.now() / 1000, &out);
                 self.changed(lines);
             }
-            Order::Drained { out, tell } => {
+            AdminCommand::FleetDrained { out, tell } => {
                 let lines = self.hand.agree(self.clock.now() / 1000, &out);
                 self.changed(lines);
                 let _ = tell.send(());
             }
-            Order::Ready { held, tell } => {
+            AdminCommand::ReadyServers { held, tell } => {
                 let ready = || self.hand.ready().cloned().collect();
                 let _ = tell.send((self.lists != held).then(|| (self.lists, ready())));
             }
-            Order::Part(part) => {
-                self.events.push_back(Event::Part(part));
+            AdminCommand::ProcessShare(part) => {
+                self.events.push_back(Event::ProcessShare(part));
                 self.settle();
             }
-            Order::List { held, tell } => {
+            AdminCommand::ServerList { held, tell } => {
                 let members = || self.hand.listed().cloned().map(membership::member).collect();
-                let list = || List { revision: 0, complete: true, members: members() };
+                let list = || ServerList { revision: 0, complete: true, members: members() };
                 let _ = tell.send((self.lists != held).then(|| (self.lists, list())));
             }
-            Order::States(tell) => {
-                let avoided: HashSet<ServerId> = self.policy.avoided().collect();
+            AdminCommand::StateCounts(tell) => {
+                let avoided: HashSet<ServerId> = self.policy.avoided_servers().collect();
                 let numbers = &mut self.numbers;
                 let mut out = |id: &str, takes: bool| !takes || avoided.contains(&numbers.of(id));
                 let states = self.hand.members().fold((0, 0), |(members, unavailable), (id, takes)| {
@@ -102,7 +102,7 @@
         }
     }
 
-    pub(super) fn by_hand(&mut self, id: &str, out: bool) -> Result<bool, Refused> {
+    pub(super) fn by_hand(&mut self, id: &str, out: bool) -> Result<bool, AdminDrainError> {
         let now = self.clock.now() / 1000;
         let line = if out { self.hand.exclude(now, id) } else { self.hand.include(now, id) }?;
         let changed = line.is_some();
@@ -111,31 +111,31 @@
     }
 
     /// Takes in lines that changed by the hand alone; it is so when this returns.
-    pub(super) fn changed(&mut self, lines: impl IntoIterator<Item = Line>) {
+    pub(super) fn changed(&mut self, lines: impl IntoIterator<Item = ServerRecord>) {
         let members: Vec<_> = lines.into_iter().map(membership::member).collect();
         if !members.is_empty() {
-            self.take(List { revision: 0, complete: false, members }, ListKind::Delta);
+            self.take(ServerList { revision: 0, complete: false, members }, ListKind::Delta);
             self.settle();
         }
     }
 
     /// Takes over what the sources say, but for what the hand says otherwise.
-    pub(super) fn list(&mut self, list: List, kind: ListKind) {
+    pub(super) fn list(&mut self, list: ServerList, kind: ListKind) {
         let whole = kind != ListKind::Delta;
         // A watch that ends with no change is no new list: what follows the number would be told the old one again.
         if whole || !list.members.is_empty() {
             self.lists += 1;
         }
         let lines = list.members.into_iter().map(membership::line).collect();
-        if whole && planted(Plant::HandForgotten) {
+        if whole && mutation_active(Mutation::HandForgotten) {
             let origin = std::mem::take(&mut self.hand);
             self.hand = origin.emptied();
         }
         let lines = self.hand.list(whole, lines);
-        self.take(List { members: lines.into_iter().map(membership::member).collect(), ..list }, kind);
+        self.take(ServerList { members: lines.into_iter().map(membership::member).collect(), ..list }, kind);
     }
 
-    pub(super) fn take(&mut self, mut list: List, kind: ListKind) {
+    pub(super) fn take(&mut self, mut list: ServerList, kind: ListKind) {
         let (revision, lines) = (list.revision, list.members.len());
         self.log_event(&Logged::ListTaken { revision, complete: kind != ListKind::Delta, lines });
         let mut lines = self.numbers.lines(&self.net, &mut list, &self.site);
@@ -146,7 +146,7 @@
         let mut unsent = Vec::new();
         for (line, address) in &lines {
             let ready = line.condition == Condition::Ready;
-            let origin = Some(line.kind) == self.site.decisions.origin_kind;
+            let origin = Some(line.kind) == self.site.policy.origin_kind;
             if line.condition == Condition::Gone && self.origin_ids.remove(&line.id) {
                 self.parts.origins.gone(line.id);
             } else if origin && line.condition != Condition::Gone {
@@ -174,7 +174,7 @@
             && pool.relist(&|address| by_address.get(&address).copied())
         {
             let ranges = slot_ranges(pool.ranges());
-            self.events.push_back(Event::Slots { whole: true, ranges });
+            self.events.push_back(Event::SlotMap { whole: true, ranges });
         }
         let left = match &self.parts.cluster {
             Some((_, asker)) => asker.leave(&|id| self.parts.servers.is_ready(id)),
@@ -182,7 +182,7 @@
         };
         left.into_iter().for_each(|server| self.topology(server, None));
         for attempt in unsent {
-            self.end(attempt, Status::NotSent, Note::None, Load::default(), None);
+            self.end(attempt, Status::NotSent, CacheLookup::None, Load::default(), None);
         }
     }
 
--- a/crates/mothpier/src/node/tests.rs
+++ b/crates/mothpier/src/node/tests.rs
@@ -22,7 +22,7 @@
 
 fn node() -> Node<Tokio> {
     let (events, _inputs) = mpsc::channel(8);
-    let figures = Rc::new(crate::figures::Figures::new(&[]).unwrap());
+    let figures = Rc::new(crate::metrics::Metrics::new(&[]).unwrap());
     let limits = servers::Limits {
         balancers: 1,
         multiplex: 32,
@@ -48,7 +48,7 @@
         ),
         peers: None,
         membership: None,
-        wanted: watch::channel(Wanted::default()).0,
+        wanted: watch::channel(DiscoveryRequest::default()).0,
         phase: Rc::default(),
         figures,
         event_log: Rc::default(),
@@ -64,7 +64,8 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let mut node = node();
         let [name, key, id] = [&b"CACHE.GET"[..], b"k", b"i"].map(Bytes::from_static);
-        let claim = crate::messages::Claim::of(&crate::messages::Ids::default(), &id).unwrap();
+        let claim =
+            crate::messages::RequestIdClaim::of(&crate::messages::OpenRequestIds::default(), &id).unwrap();
         let command = Command {
             name,
             key,
@@ -80,7 +81,7 @@
         // The loop was held up for 0.3 s behind it.
         let read = Tokio.now() - Duration::from_millis(300);
         let event = ClientEvent::Asked { request, command: Box::new(command), answer, read };
-        node.input(Input::Client(event));
+        node.input(NodeInput::Client(event));
         let left = node.open[&1].ends.saturating_duration_since(Tokio.now());
         assert!(left <= Duration::from_millis(100), "{left:?} left of 0.4 s");
         let Some(Event::Request(told)) = node.events.pop_front() else { panic!() };
@@ -124,7 +125,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let mut node = node();
-        let list = |complete: bool, members: &str| -> List {
+        let list = |complete: bool, members: &str| -> ServerList {
             let text = format!(r#"{{"revision":1,"complete":{complete},"members":[{members}]}}"#);
             serde_json::from_str(&text).unwrap()
         };
--- a/crates/mothpier/src/operations.rs
+++ b/crates/mothpier/src/operations.rs
@@ -5,17 +5,17 @@
 use std::time::Duration;
 
 use mothpier_coordination::Act;
-use mothpier_membership::hand::Refused;
+use mothpier_membership::admin_drain::AdminDrainError;
 use mothpier_net::Net;
 use tokio::sync::{mpsc, oneshot};
 
 use crate::clients::Clients;
-use crate::figures::{Figures, States};
 use crate::handover::State;
-use crate::messages::Order;
-use crate::obeying::Obeying;
-use crate::phase::{Phase, Whose};
-use crate::succession::Succession;
+use crate::lease_authority::LeaseAuthority;
+use crate::messages::AdminCommand;
+use crate::metrics::{Metrics, StateMetrics};
+use crate::phase::{DrainSource, ServingPhase};
+use crate::process_handover::ProcessHandover;
 
 /// After a front has heard the first no it sends new connections for another 0.2 s, and it may ask only every 0.1 s;
 /// the rest is for what is on its way.
@@ -56,15 +56,15 @@
 /// The parts of the node that obey.
 pub struct Operations<N: Net> {
     pub net: N,
-    pub phase: Rc<Phase>,
-    pub figures: Rc<Figures>,
+    pub phase: Rc<ServingPhase>,
+    pub figures: Rc<Metrics>,
     pub clients: Rc<Clients<N>>,
     /// Before all that clients ask.
-    pub orders: mpsc::Sender<Order>,
+    pub orders: mpsc::Sender<AdminCommand>,
     /// Where another process may take this one's place.
-    pub succession: Option<Rc<Succession>>,
+    pub succession: Option<Rc<ProcessHandover>>,
     /// Where holders of leases may give orders.
-    pub obeying: Option<Rc<Obeying<N>>>,
+    pub obeying: Option<Rc<LeaseAuthority<N>>>,
 }
 
 impl<N: Net> Operations<N> {
@@ -104,12 +104,12 @@
             Call::Exclude(id) => self.by_hand(id, true).await,
             Call::Include(id) => self.by_hand(id, false).await,
             Call::Evacuate => {
-                self.clone().empty(Whose::Hand);
+                self.clone().empty(DrainSource::Hand);
                 let kept = self.keep(|state, now| state.empty(now, true));
                 Reply::Yes(format!("evacuating\n{kept}"))
             }
             Call::Rejoin => {
-                self.refill(Whose::Hand);
+                self.refill(DrainSource::Hand);
                 let kept = self.keep(|state, now| state.empty(now, false));
                 match self.phase.ready() {
                     Ok(()) => Reply::Yes(format!("at work\n{kept}")),
@@ -121,9 +121,9 @@
 
     async fn scrape(&self) -> Reply {
         let (tell, told) = oneshot::channel();
-        let asked = self.orders.send(Order::States(tell)).await;
+        let asked = self.orders.send(AdminCommand::StateCounts(tell)).await;
         let Ok((members, unavailable)) = told.await else { return ended(asked.is_err()) };
-        let states = States { pending: self.clients.pending(), members, unavailable };
+        let states = StateMetrics { pending: self.clients.pending(), members, unavailable };
         match self.figures.text(states) {
             Ok(text) => Reply::Yes(text),
             Err(e) => Reply::No(format!("the figures can't be written: {e}\n")),
@@ -141,7 +141,7 @@
 
     async fn by_hand(&self, id: String, out: bool) -> Reply {
         let (tell, told) = oneshot::channel();
-        let asked = self.orders.send(Order::Hand { id: id.clone(), out, tell }).await;
+        let asked = self.orders.send(AdminCommand::SetServerDrained { id: id.clone(), out, tell }).await;
         let Ok(done) = told.await else { return ended(asked.is_err()) };
         let what = if out { "out by hand" } else { "may serve" };
         match done {
@@ -152,32 +152,32 @@
                 }
                 Reply::Yes(format!("{id} {what}\n{kept}"))
             }
-            Err(why @ Refused::Unknown) => Reply::NotFound(format!("{id:?}: {}\n", why.name())),
+            Err(why @ AdminDrainError::Unknown) => Reply::NotFound(format!("{id:?}: {}\n", why.name())),
             Err(why) => Reply::No(format!("{id:?}: {}\n", why.name())),
         }
     }
 
     /// Does as another process of the node was told.
     pub async fn agree(self: &Rc<Self>, out: BTreeMap<String, u64>, emptied: bool) {
-        let _ = self.orders.send(Order::Out(out)).await;
+        let _ = self.orders.send(AdminCommand::ReplaceDrained(out)).await;
         if emptied {
-            self.clone().empty(Whose::Hand);
+            self.clone().empty(DrainSource::Hand);
         } else {
-            self.refill(Whose::Hand);
+            self.refill(DrainSource::Hand);
         }
     }
 
     /// It is called back.
-    pub fn refill(&self, whose: Whose) {
+    pub fn refill(&self, whose: DrainSource) {
         if self.phase.refill(whose) {
             self.net.log("back to work: takes requests again");
         }
     }
 
     /// It is called off.
-    pub fn empty(self: Rc<Self>, whose: Whose) {
+    pub fn empty(self: Rc<Self>, whose: DrainSource) {
         if let Some(call) = self.phase.empty(whose) {
-            let by = if whose == Whose::Hand { "emptied by hand" } else { "drained by the fleet" };
+            let by = if whose == DrainSource::Hand { "emptied by hand" } else { "drained by the fleet" };
             self.net.log(format_args!("{by}: connections close, requests are answered to their ends"));
             let net = self.net.clone();
             net.clone().spawn(async move {
--- a/crates/mothpier/src/origin.rs
+++ b/crates/mothpier/src/origin.rs
@@ -17,12 +17,12 @@
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, percent_encode};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 
-use crate::figures::Figures;
 use crate::http::{self, Connection};
-use crate::messages::{AttemptId, Input, OriginEnded as Ended, Passing};
+use crate::messages::{AttemptId, NodeInput, OriginEnded as Ended, StreamedValue};
+use crate::metrics::Metrics;
 use crate::resp::{MAX_PASSED, MAX_VALUE};
 use crate::time_budget::{DeadlinePassed, TimeBudget};
-use crate::{Plant, planted};
+use crate::{Mutation, mutation_active};
 
 /// A connection idle for this part of the time after which it is closed is not used again.
 const FRESH: f64 = 0.7;
@@ -67,9 +67,9 @@
     /// It has begun to be written.
     begun: Cell<bool>,
     /// Where it counts once it is written; a probe counts nowhere.
-    counts: Option<Rc<Figures>>,
+    counts: Option<Rc<Metrics>>,
     attempt: AttemptId,
-    events: mpsc::Sender<Input>,
+    events: mpsc::Sender<NodeInput>,
 }
 
 /// A call that is out.
@@ -134,8 +134,8 @@
     connect_timeout: Duration,
     /// Connections that may be open to all together.
     descriptors: Arc<Semaphore>,
-    figures: Rc<Figures>,
-    events: mpsc::Sender<Input>,
+    figures: Rc<Metrics>,
+    events: mpsc::Sender<NodeInput>,
 }
 
 impl<N: Net> Origins<N> {
@@ -144,8 +144,8 @@
         idle_close: Duration,
         connect_timeout: Duration,
         descriptors: usize,
-        figures: Rc<Figures>,
-        events: mpsc::Sender<Input>,
+        figures: Rc<Metrics>,
+        events: mpsc::Sender<NodeInput>,
     ) -> Self {
         let descriptors = Arc::new(Semaphore::new(descriptors.max(1)));
         let idle_close = idle_close.mul_f64(FRESH);
@@ -225,7 +225,7 @@
         let task = self.net.spawn(async move {
             let ended =
                 exchange(&net, &pool, address, outgoing, (fresh, within), descriptors, &written).await;
-            let _ = events.send(Input::Origin { attempt, ended }).await;
+            let _ = events.send(NodeInput::Origin { attempt, ended }).await;
         });
         Call { progress, task }
     }
@@ -240,8 +240,8 @@
 
 /// Passes a body on as it comes; whether it came whole and was taken.
 async fn pass_on(net: &impl Net, mut body: Incoming, length: usize, progress: &Progress) -> bool {
-    let (put, value) = Passing::of(length);
-    if progress.events.send(Input::OriginBegan { attempt: progress.attempt, value }).await.is_err() {
+    let (put, value) = StreamedValue::of(length);
+    if progress.events.send(NodeInput::OriginBegan { attempt: progress.attempt, value }).await.is_err() {
         return false;
     }
     let mut left = length;
@@ -313,7 +313,7 @@
         // Given back: the connection had ended before any of it was written.
         Err(e) if e.message().is_some() => return Ended::with(Status::ConnectFailed),
         Err(_) if connection.gate.has_refused() => return Ended::with(Status::NotSent),
-        Err(_) if planted(Plant::ResetNeverRan) => return Ended::with(Status::ConnectFailed),
+        Err(_) if mutation_active(Mutation::ResetNeverRan) => return Ended::with(Status::ConnectFailed),
         Err(_) => return Ended::with(Status::Reset),
     };
     let header = |name: &str| {
@@ -322,7 +322,7 @@
     let load = header("X-Load");
     let status = match response.status().as_u16() {
         200 => Status::Served,
-        500 if planted(Plant::ErrorNeverRan) => Status::Full,
+        500 if mutation_active(Mutation::ErrorNeverRan) => Status::Full,
         503 | 504 if header("X-Not-Run") == "1" => Status::Full,
         _ => Status::Error,
     };
--- a/crates/mothpier/src/peers.rs
+++ b/crates/mothpier/src/peers.rs
@@ -9,8 +9,8 @@
 use mothpier_slots::Tier;
 use tokio::sync::mpsc;
 
-use crate::messages::Input;
-use crate::{Plant, planted};
+use crate::messages::NodeInput;
+use crate::{Mutation, mutation_active};
 
 /// The longest message that may be sent.
 const MAX_MESSAGE: usize = 256;
@@ -32,7 +32,7 @@
         addresses: Vec<SocketAddr>,
         all: Option<SocketAddr>,
         tier: Option<Rc<RefCell<Tier>>>,
-        events: mpsc::Sender<Input>,
+        events: mpsc::Sender<NodeInput>,
     ) -> std::io::Result<Self> {
         let socket = if shared { net.shared_socket(listen).await? } else { net.socket(listen).await? };
         let socket = Rc::new(socket);
@@ -47,15 +47,15 @@
                 let Ok((length, sender)) = inbox.recv_from(&mut buffer).await else { continue };
                 let Some(from) = numbers.get(&sender).copied() else { continue };
                 if let Some(tier) = tier.as_ref().filter(|_| Tier::is_message(&buffer[..length])) {
-                    if planted(Plant::TierUnheard) {
+                    if mutation_active(Mutation::TierUnheard) {
                         continue;
                     }
-                    let unix_ms = machine.wall().as_millis() as u64;
+                    let unix_ms = machine.unix_time().as_millis() as u64;
                     tier.borrow_mut().heard(unix_ms, from, &buffer[..length.min(MAX_MESSAGE)]);
                 } else if length <= MAX_MESSAGE {
                     let bytes = buffer[..length].to_vec();
                     // One that finds the queue full is dropped, as it might have been on its way.
-                    let _ = events.try_send(Input::Peer { from: from as u32, bytes });
+                    let _ = events.try_send(NodeInput::Peer { from: from as u32, bytes });
                 }
                 machine.yield_now().await;
             }
--- a/crates/mothpier/src/phase.rs
+++ b/crates/mothpier/src/phase.rs
@@ -22,7 +22,7 @@
 
 /// Whose word it is that a node takes no work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whose {
+pub enum DrainSource {
     /// Staff's, at its door.
     Hand,
     /// The fleet's, by agreement.
@@ -32,7 +32,7 @@
 /// The phase, and word of its change to all who wait. Not a `watch`: that wakes those who wait in an order drawn at
 /// random, and equal runs would differ.
 #[derive(Default)]
-pub struct Phase {
+pub struct ServingPhase {
     /// There is a list of servers.
     listed: Cell<bool>,
     /// Staff, and the fleet, have called it off; which of the calls it was.
@@ -50,7 +50,7 @@
     changed: Notify,
 }
 
-impl Phase {
+impl ServingPhase {
     /// There is a list of servers, or none is waited for.
     pub fn listed(&self) {
         if !self.listed.replace(true) {
@@ -60,7 +60,10 @@
 
     /// What keeps it from work, in words.
     pub fn at_work(&self) -> Result<(), &'static str> {
-        match (self.emptied[Whose::Hand as usize].get(), self.emptied[Whose::Fleet as usize].get()) {
+        match (
+            self.emptied[DrainSource::Hand as usize].get(),
+            self.emptied[DrainSource::Fleet as usize].get(),
+        ) {
             (true, _) => Err("emptied by hand"),
             (_, true) => Err("drained by the fleet"),
             _ if !self.listed.get() => Err("no list of servers yet"),
@@ -123,7 +126,7 @@
     }
 
     /// It is called off and says no from now on. Gives the number of the call where it was at work until now.
-    pub fn empty(&self, whose: Whose) -> Option<u64> {
+    pub fn empty(&self, whose: DrainSource) -> Option<u64> {
         let before = self.is_emptied();
         self.emptied[whose as usize].set(true);
         self.calls.set(self.calls.get() + u64::from(!before));
@@ -138,7 +141,7 @@
     }
 
     /// It is called back; whether that brings it back to work.
-    pub fn refill(&self, whose: Whose) -> bool {
+    pub fn refill(&self, whose: DrainSource) -> bool {
         let before = self.emptied[whose as usize].replace(false) && !self.is_emptied();
         if before && !self.shut.get() {
             self.closing.set(None);
--- a/crates/mothpier/src/succession.rs
+++ b/crates/mothpier/src/process_handover.rs
@@ -9,9 +9,9 @@
 use tokio::sync::{Mutex, MutexGuard, oneshot};
 
 use crate::handover::{Drained, State, part};
-use crate::messages::{List, Order};
+use crate::handover_store::HandoverStore;
+use crate::messages::{AdminCommand, ServerList};
 use crate::operations::Operations;
-use crate::shelf::Shelf;
 
 /// How often the other process's words are looked for: a drain is owed within half a second.
 const LOOK: Duration = Duration::from_millis(100);
@@ -51,9 +51,9 @@
 }
 
 /// What this process knows of the others of its node.
-pub struct Succession {
+pub struct ProcessHandover {
     node: String,
-    shelf: Rc<dyn Shelf>,
+    shelf: Rc<dyn HandoverStore>,
     state: RefCell<State>,
     /// As it was last read or written.
     left: RefCell<Option<Vec<u8>>>,
@@ -64,12 +64,12 @@
     turn: Mutex<()>,
 }
 
-impl Succession {
+impl ProcessHandover {
     /// Takes over what is on the shelf.
-    pub fn open(net: &impl Net, shelf: Rc<dyn Shelf>, node: &str, sockets: usize) -> Self {
+    pub fn open(net: &impl Net, shelf: Rc<dyn HandoverStore>, node: &str, sockets: usize) -> Self {
         let (state, left) = (RefCell::new(State::new(node)), RefCell::default());
         let (not_kept, turn) = (RefCell::default(), Mutex::new(()));
-        let succession = Succession { node: node.into(), shelf, state, left, sockets, not_kept, turn };
+        let succession = ProcessHandover { node: node.into(), shelf, state, left, sockets, not_kept, turn };
         succession.look(net);
         succession
     }
@@ -118,7 +118,7 @@
     /// It holds in this process, but could not be kept for the next one yet.
     pub fn said(&self, net: &impl Net, change: impl FnOnce(&mut State, u64)) -> Result<(), NotKept> {
         self.look(net);
-        change(&mut self.state.borrow_mut(), net.wall().as_millis() as u64);
+        change(&mut self.state.borrow_mut(), net.unix_time().as_millis() as u64);
         self.leave(net);
         self.not_kept.borrow().clone().map_or(Ok(()), |why| Err(NotKept(why)))
     }
@@ -139,7 +139,7 @@
     }
 
     /// The list that an earlier process held.
-    pub fn list(&self) -> Option<List> {
+    pub fn list(&self) -> Option<ServerList> {
         self.state.borrow_mut().take_list()
     }
 
@@ -155,7 +155,7 @@
 }
 
 /// Looks at the other processes for as long as the node lives, and obeys what they were told.
-pub async fn run<N: Net>(operations: Rc<Operations<N>>, succession: Rc<Succession>, share: Rc<Share>) {
+pub async fn run<N: Net>(operations: Rc<Operations<N>>, succession: Rc<ProcessHandover>, share: Rc<Share>) {
     let net = operations.net.clone();
     let (mut looks, mut held) = (0u32, 0);
     loop {
@@ -170,10 +170,10 @@
         }
         if looks.is_multiple_of(LIST_LOOKS) {
             let (tell, told) = oneshot::channel();
-            let _ = operations.orders.send(Order::List { held, tell }).await;
+            let _ = operations.orders.send(AdminCommand::ServerList { held, tell }).await;
             if let Ok(Some((now, list))) = told.await {
                 held = now;
-                succession.state.borrow_mut().list(net.wall().as_millis() as u64, list);
+                succession.state.borrow_mut().list(net.unix_time().as_millis() as u64, list);
             }
         }
         succession.leave(&net);
@@ -183,7 +183,7 @@
         let part = part(serving, &others);
         if share.part.replace(part) != part {
             net.log(format_args!("this process is 1/{} of the node", (1.0 / part).round()));
-            let _ = operations.orders.send(Order::Part(part)).await;
+            let _ = operations.orders.send(AdminCommand::ProcessShare(part)).await;
         }
         let theirs: usize = others.iter().map(|w| w.descriptors).sum();
         let left = succession.sockets.saturating_sub(theirs) as f64 / succession.sockets.max(1) as f64;
--- a/crates/mothpier/src/opening.rs
+++ b/crates/mothpier/src/retry_open.rs
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// The first error that does not pass, or the last one.
-pub async fn patiently<N: Net, T>(net: &N, open: impl AsyncFn() -> io::Result<T>) -> io::Result<T> {
+pub async fn retry_open<N: Net, T>(net: &N, open: impl AsyncFn() -> io::Result<T>) -> io::Result<T> {
     let until = net.now() + PATIENCE;
     let mut said = false;
     loop {
--- a/crates/mothpier/src/servers.rs
+++ b/crates/mothpier/src/servers.rs
@@ -25,10 +25,10 @@
 use self::command::Owed;
 use self::pool::Pool;
 use self::recently_used::{RecentlyUsed, State};
-use crate::figures::{Figures, ServerCloseReason};
-use crate::messages::{AttemptId, Input, Passing, ServerEvent as Event};
-use crate::succession::Share;
-use crate::{Plant, planted};
+use crate::messages::{AttemptId, NodeInput, ServerEvent as Event, StreamedValue};
+use crate::metrics::{Metrics, ServerCloseReason};
+use crate::process_handover::Share;
+use crate::{Mutation, mutation_active};
 
 pub use self::command::{Command, Payload};
 
@@ -53,7 +53,7 @@
     /// A frame of the agreed form came back for it.
     Answered(BytesFrame),
     /// Its answer has begun, with a value too large to be held.
-    Began(Passing),
+    Began(StreamedValue),
     /// What came back can't be an answer to it. It has run; the connection is closed.
     Spoilt,
     /// The connection ended after its last byte was written.
@@ -76,7 +76,7 @@
     /// The servers are nodes of the shared tier, which answer as nodes do.
     pub tier: bool,
     /// Where attempts are counted.
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     /// What this process may use of what the node has.
     pub share: Rc<Share>,
     /// Memory, in permits of a KB, for large values that others wait behind.
@@ -107,7 +107,7 @@
     /// In order: what happens to several at once happens in the same order every time.
     pools: BTreeMap<ServerId, Pool<N>>,
     limits: Limits,
-    events: mpsc::Sender<Input>,
+    events: mpsc::Sender<NodeInput>,
     numbers: u64,
     /// Former numbers of servers, for as long as attempts may be out that know them by those.
     renamed: BTreeMap<ServerId, (ServerId, Instant)>,
@@ -121,7 +121,7 @@
 }
 
 impl<N: Net> Servers<N> {
-    pub fn new(net: N, limits: Limits, events: mpsc::Sender<Input>) -> Self {
+    pub fn new(net: N, limits: Limits, events: mpsc::Sender<NodeInput>) -> Self {
         Servers {
             net,
             pools: BTreeMap::new(),
@@ -178,7 +178,7 @@
         pool.ready = ready;
         pool.address = address.or(pool.address);
         let mut unsent = Vec::new();
-        if (!ready || moved) && !planted(Plant::DrainKeepsWaiting) {
+        if (!ready || moved) && !mutation_active(Mutation::DrainKeepsWaiting) {
             unsent.extend(pool.waiting.drain(..).map(|c| c.attempt));
             for c in &mut pool.connections {
                 c.retired = true;
@@ -319,7 +319,7 @@
         // What a connection told before its server was forgotten still ends its attempts: a server that owes nothing any
         // more is one whose last word may be on its way here.
         let mut pool = self.pools.get_mut(&server);
-        if pool.as_ref().is_some_and(|p| !p.ready) && planted(Plant::LastWordLost) {
+        if pool.as_ref().is_some_and(|p| !p.ready) && mutation_active(Mutation::LastWordLost) {
             return Vec::new();
         }
         let mut ended = Vec::new();
@@ -378,7 +378,7 @@
         let mut unsent = pool.unsent(attempt);
         pool.connections.retain(|c| {
             let mut line = c.shared.line.borrow_mut();
-            if planted(Plant::ShiftedAnswers) {
+            if mutation_active(Mutation::ShiftedAnswers) {
                 line.sent.retain(|s| s.attempt != attempt);
                 return true;
             }
--- a/crates/mothpier/src/servers/connection.rs
+++ b/crates/mothpier/src/servers/connection.rs
@@ -15,8 +15,8 @@
 use super::command::{Command, Owed};
 use super::line::{Begun, Sent, Shared};
 use super::reader::Reader;
-use crate::figures::{Figures, ServerCloseReason};
-use crate::messages::{Input, ServerEvent};
+use crate::messages::{NodeInput, ServerEvent};
+use crate::metrics::{Metrics, ServerCloseReason};
 use crate::resp;
 
 /// A connection as the node sees it; dropping it closes it.
@@ -30,7 +30,7 @@
     /// How many connections there are to all servers.
     pub(super) all: Rc<Cell<usize>>,
     /// Where its end is counted.
-    pub(super) figures: Rc<Figures>,
+    pub(super) figures: Rc<Metrics>,
     /// Why it ends, once that is known.
     pub(super) close_reason: Cell<ServerCloseReason>,
 }
@@ -84,7 +84,7 @@
     pub(super) shared: Rc<Shared>,
     /// How soon its server answers.
     pub(super) answer_times: Rc<AnswerTimes>,
-    pub(super) events: mpsc::Sender<Input>,
+    pub(super) events: mpsc::Sender<NodeInput>,
 }
 
 impl<N: Net> Driver<N> {
@@ -100,8 +100,8 @@
     }
 
     /// What the node is told of this connection.
-    pub(super) fn input(&self, event: ServerEvent) -> Input {
-        Input::Server { server: self.shared.server.get(), number: self.number, event }
+    pub(super) fn input(&self, event: ServerEvent) -> NodeInput {
+        NodeInput::Server { server: self.shared.server.get(), number: self.number, event }
     }
 
     /// Makes the connection and carries its commands until it ends; whether it was refused.
--- a/crates/mothpier/src/servers/large_value.rs
+++ b/crates/mothpier/src/servers/large_value.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use mothpier_net::{Net, Reading};
+use mothpier_net::{Net, ReadHalf};
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::{Semaphore, mpsc};
@@ -22,7 +22,7 @@
 /// the connection has to end. What nobody takes any more is read to its end only if others wait behind it. What is taken
 /// slowly is held while others wait behind it, as far as there is memory: one client's answers come in the order of its
 /// commands, so that what it waits for may stand behind the very value that it does not take yet.
-pub(super) async fn pass_on<R: Reading>(
+pub(super) async fn pass_on<R: ReadHalf>(
     net: &impl Net,
     (shared, memory): (&Shared, &Arc<Semaphore>),
     reading: &R,
--- a/crates/mothpier/src/servers/line.rs
+++ b/crates/mothpier/src/servers/line.rs
@@ -15,7 +15,7 @@
 
 use super::command::{Command, Owed};
 use crate::messages::{AttemptId, ServerEvent};
-use crate::{Plant, planted};
+use crate::{Mutation, mutation_active};
 
 /// A command that was written whole, or a word before one.
 pub(super) struct Sent {
@@ -157,7 +157,7 @@
             let word = Sent { attempt: command.attempt, owed: Owed::Word, given_up: false, written: now };
             line.sent.push_back(word);
         }
-        bytes.advance(if planted(Plant::HalfWriteIsWhole) { bytes.len() } else { written });
+        bytes.advance(if mutation_active(Mutation::HalfWriteIsWhole) { bytes.len() } else { written });
         Poll::Ready(Some(Ok(Begun { command, rest: bytes })))
     }
 }
--- a/crates/mothpier/src/servers/pool.rs
+++ b/crates/mothpier/src/servers/pool.rs
@@ -14,8 +14,8 @@
 use super::connection::{Connection, Driver};
 use super::line::Shared;
 use super::{Command, Ended, Limits, MOST_CONNECTIONS, TIER_CONNECTIONS};
-use crate::figures::ServerCloseReason;
-use crate::messages::{AttemptId, Input};
+use crate::messages::{AttemptId, NodeInput};
+use crate::metrics::ServerCloseReason;
 
 /// A second answer to the same command comes within this time of the first, or not.
 pub(super) const SETTLED: Duration = Duration::from_millis(10);
@@ -68,7 +68,7 @@
         (server, number): (ServerId, u64),
         address: SocketAddr,
         limits: &Limits,
-        events: &mpsc::Sender<Input>,
+        events: &mpsc::Sender<NodeInput>,
         all: Rc<Cell<usize>>,
     ) {
         let shared = Rc::new(Shared { server: Cell::new(server), ..Shared::default() });
--- a/crates/mothpier/src/servers/reader.rs
+++ b/crates/mothpier/src/servers/reader.rs
@@ -4,14 +4,14 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use mothpier_net::{Net, Reading};
+use mothpier_net::{Net, ReadHalf};
 use redis_protocol::resp2::types::BytesFrame;
 
 use super::answer_times::settling_time;
 use super::command::Owed;
 use super::connection::Driver;
 use super::large_value::pass_on;
-use crate::messages::{Passing, ServerEvent};
+use crate::messages::{ServerEvent, StreamedValue};
 use crate::resp;
 
 /// An answer that has begun comes whole within this time: values are small and the servers near. One that does
@@ -24,7 +24,7 @@
 const TOO_SOON: &str = "an answer sooner than its server can give one";
 
 /// The reading half of a connection.
-pub(super) struct Reader<'a, N: Net, R: Reading> {
+pub(super) struct Reader<'a, N: Net, R: ReadHalf> {
     connection: &'a Driver<N>,
     reading: &'a R,
     buffer: BytesMut,
@@ -44,7 +44,7 @@
     Ended,
 }
 
-impl<'a, N: Net, R: Reading> Reader<'a, N, R> {
+impl<'a, N: Net, R: ReadHalf> Reader<'a, N, R> {
     /// Of a connection that stands.
     pub(super) fn new(connection: &'a Driver<N>, reading: &'a R) -> Self {
         Reader { connection, reading, buffer: BytesMut::new(), begun: None, answered: None }
@@ -90,7 +90,7 @@
         if !self.in_time(written) {
             return self.hand_over(Err(resp::Malformed(TOO_SOON))).await;
         }
-        let (put, value) = Passing::of(large.length);
+        let (put, value) = StreamedValue::of(large.length);
         connection.events.send(connection.input(ServerEvent::Began(attempt, value))).await.ok()?;
         let memory = &connection.limits.held;
         let frame =
--- a/crates/mothpier/src/servers/tests.rs
+++ b/crates/mothpier/src/servers/tests.rs
@@ -8,7 +8,7 @@
 use super::line::{Line, Shared};
 use super::pool::SETTLED;
 use super::*;
-use crate::messages::{self, Claim, Ids};
+use crate::messages::{self, OpenRequestIds, RequestIdClaim};
 use crate::resp;
 use crate::time_budget::TimeBudget;
 
@@ -26,7 +26,7 @@
             servers.listed(1, listener.local_addr().ok(), true);
             assert!(servers.send(1, get(7)));
             let (mut stream, _) = listener.accept().await.unwrap();
-            let Some(Input::Server { number, event, .. }) = inputs.recv().await else { panic!() };
+            let Some(NodeInput::Server { number, event, .. }) = inputs.recv().await else { panic!() };
             servers.event(1, number, event);
             let mut read = [0; 64];
             assert!(stream.read(&mut read).await.unwrap() > 0);
@@ -35,7 +35,7 @@
             } else {
                 drop(stream);
             }
-            let Some(Input::Server { server, number, event }) = inputs.recv().await else { panic!() };
+            let Some(NodeInput::Server { server, number, event }) = inputs.recv().await else { panic!() };
             servers.listed(1, None, false);
             assert_eq!(servers.len(), 0, "it owes nothing any more");
             let ended = servers.event(server, number, event);
@@ -67,7 +67,7 @@
 /// A client's command whose last word, where it has no value, is `k`.
 fn request(attempt: AttemptId, value: Option<Bytes>) -> Command {
     let id = Bytes::from_static(b"i");
-    let claim = Claim::of(&Ids::default(), &id).unwrap();
+    let claim = RequestIdClaim::of(&OpenRequestIds::default(), &id).unwrap();
     let write = value.is_some();
     let command = messages::Command {
         name: "GET".into(),
@@ -87,7 +87,7 @@
 /// A server with one connection that carries an attempt, and a queue of one place that somebody else has taken.
 async fn answered_before_a_full_queue(
     ends: bool,
-) -> (Servers<Tokio>, mpsc::Receiver<Input>, tokio::net::TcpStream) {
+) -> (Servers<Tokio>, mpsc::Receiver<NodeInput>, tokio::net::TcpStream) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (events, mut inputs) = mpsc::channel(1);
@@ -95,11 +95,11 @@
     servers.listed(1, listener.local_addr().ok(), true);
     assert!(servers.send(1, get(7)));
     let (mut stream, _) = listener.accept().await.unwrap();
-    let Some(Input::Server { number, event, .. }) = inputs.recv().await else { panic!() };
+    let Some(NodeInput::Server { number, event, .. }) = inputs.recv().await else { panic!() };
     servers.event(1, number, event);
     assert!(stream.read(&mut [0; 64]).await.unwrap() > 0);
     let (census, _) = tokio::sync::oneshot::channel();
-    assert!(events.try_send(Input::Census(census)).is_ok());
+    assert!(events.try_send(NodeInput::ResourceCounts(census)).is_ok());
     if ends {
         stream.shutdown().await.unwrap();
     } else {
@@ -135,9 +135,9 @@
                     servers.listed(1, None, false);
                 }
                 settle().await;
-                assert!(matches!(inputs.recv().await, Some(Input::Census(_))));
+                assert!(matches!(inputs.recv().await, Some(NodeInput::ResourceCounts(_))));
                 settle().await;
-                let Ok(Input::Server { server, number, event }) = inputs.try_recv() else {
+                let Ok(NodeInput::Server { server, number, event }) = inputs.try_recv() else {
                     panic!("the last word is lost, ends: {ends}, drains: {drains}")
                 };
                 match &servers.event(server, number, event)[..] {
@@ -167,7 +167,7 @@
             servers.listed(1, listener.local_addr().ok(), true);
             assert!(servers.send(1, get(7)));
             let (mut stream, _) = listener.accept().await.unwrap();
-            let Some(Input::Server { number, event, .. }) = inputs.recv().await else { panic!() };
+            let Some(NodeInput::Server { number, event, .. }) = inputs.recv().await else { panic!() };
             servers.event(1, number, event);
             // Behind the first on its connection, as if no other could be had.
             let pool = servers.pools.get_mut(&1).unwrap();
@@ -177,7 +177,7 @@
             stream.write_all(format!("{short}{next}{next}").as_bytes()).await.unwrap();
             let mut answered = Vec::new();
             for _ in 0..2 {
-                let Some(Input::Server { event, .. }) = inputs.recv().await else { panic!() };
+                let Some(NodeInput::Server { event, .. }) = inputs.recv().await else { panic!() };
                 let down = matches!(event, Event::Down { .. });
                 for (attempt, ended) in servers.event(1, number, event) {
                     answered.extend(matches!(ended, Ended::Answered(_)).then_some(attempt));
@@ -215,7 +215,7 @@
         servers.listed(1, listener.local_addr().ok(), true);
         assert!(servers.send(1, get(7)) && servers.send(1, get(8)));
         for _ in 0..2 {
-            let Some(Input::Server { number, event, .. }) = inputs.recv().await else { panic!() };
+            let Some(NodeInput::Server { number, event, .. }) = inputs.recv().await else { panic!() };
             servers.event(1, number, event);
         }
         let pool = servers.pools.get_mut(&1).unwrap();
@@ -271,14 +271,16 @@
 const LARGE: usize = 16 << 20;
 
 /// A server that does not read, with a large command on its way to it as attempt 7.
-async fn large_one_out(multiplex: usize) -> (Servers<Tokio>, tokio::net::TcpStream, mpsc::Receiver<Input>) {
+async fn large_one_out(
+    multiplex: usize,
+) -> (Servers<Tokio>, tokio::net::TcpStream, mpsc::Receiver<NodeInput>) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (events, mut inputs) = mpsc::channel(8);
     let mut servers = Servers::new(Tokio, limits(multiplex), events);
     servers.listed(1, listener.local_addr().ok(), true);
     assert!(servers.send(1, request(7, Some(vec![b'v'; LARGE].into()))));
     let (stream, _) = listener.accept().await.unwrap();
-    let Some(Input::Server { number, event, .. }) = inputs.recv().await else { panic!() };
+    let Some(NodeInput::Server { number, event, .. }) = inputs.recv().await else { panic!() };
     servers.event(1, number, event);
     (servers, stream, inputs)
 }
@@ -342,7 +344,7 @@
         descriptors: 8,
         read_copies: false,
         tier: false,
-        figures: Rc::new(Figures::new(&[]).unwrap()),
+        figures: Rc::new(Metrics::new(&[]).unwrap()),
         share: Rc::default(),
         held: Arc::new(Semaphore::new(8 * 1024)),
     }
@@ -362,7 +364,7 @@
         assert!(servers.send(1, get(7)));
         let (mut stream, _) = listener.accept().await.unwrap();
         // The word that it is up is on its way under the old number.
-        let Some(Input::Server { server, number, event }) = inputs.recv().await else { panic!() };
+        let Some(NodeInput::Server { server, number, event }) = inputs.recv().await else { panic!() };
         assert_eq!(server, 1);
         servers.renamed(1, 2);
         servers.listed(2, Some(address), true);
@@ -372,7 +374,7 @@
         let length = stream.read(&mut read).await.unwrap();
         assert!(read[..length].ends_with(b"k\r\n"));
         stream.write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n").await.unwrap();
-        let Some(Input::Server { server, number, event }) = inputs.recv().await else { panic!() };
+        let Some(NodeInput::Server { server, number, event }) = inputs.recv().await else { panic!() };
         assert_eq!(server, 2);
         let ended = servers.event(server, number, event);
         assert!(matches!(&ended[..], [(7, Ended::Answered(_))]));
@@ -399,7 +401,7 @@
         };
         assert!(servers.listed(7, Some(address), true).is_empty());
         assert!(servers.send(7, ping(1)));
-        assert!(matches!(inputs.recv().await, Some(Input::Server { event: Event::Up, .. })));
+        assert!(matches!(inputs.recv().await, Some(NodeInput::Server { event: Event::Up, .. })));
         // Up, but the node has not been told yet: the attempt still waits.
         assert_eq!(servers.listed(7, Some(address), false), [1]);
         assert!(!servers.send(7, ping(2)), "taken for a server that drains");
--- a/crates/mothpier/src/topology.rs
+++ b/crates/mothpier/src/slot_map_fetcher.rs
@@ -9,13 +9,13 @@
 
 use brassrouter::ServerId;
 use bytes::BytesMut;
-use mothpier_net::{Net, Reading, Stream, Task};
+use mothpier_net::{Net, ReadHalf, Stream, Task};
 use mothpier_slots::view::{self, Unreadable, View};
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::mpsc;
 
-use crate::messages::Input;
+use crate::messages::NodeInput;
 use crate::resp::{self, Bounds};
 
 /// A map of 16,384 ranges with two boxes each stays below this.
@@ -26,18 +26,18 @@
 const READ: usize = 64 * 1024;
 
 /// Asks boxes.
-pub struct Asker<N: Net> {
+pub struct SlotMapFetcher<N: Net> {
     net: N,
-    events: mpsc::Sender<Input>,
+    events: mpsc::Sender<NodeInput>,
     /// A box that has not answered whole within this time is not waited for.
     wait: Duration,
     /// Questions that are out: at most as many as one round has.
     out: RefCell<BTreeMap<ServerId, N::Task>>,
 }
 
-impl<N: Net> Asker<N> {
-    pub fn new(net: N, wait: Duration, events: mpsc::Sender<Input>) -> Self {
-        Asker { net, events, wait, out: RefCell::default() }
+impl<N: Net> SlotMapFetcher<N> {
+    pub fn new(net: N, wait: Duration, events: mpsc::Sender<NodeInput>) -> Self {
+        SlotMapFetcher { net, events, wait, out: RefCell::default() }
     }
 
     /// Asks a box; what it said, or that nothing came, arrives as an input. Every question ends.
@@ -55,7 +55,7 @@
                     None
                 }
             };
-            let _ = events.send(Input::Topology { server, heard }).await;
+            let _ = events.send(NodeInput::Topology { server, heard }).await;
         });
         self.out.borrow_mut().insert(server, task);
     }
@@ -96,7 +96,7 @@
     Ok(View { epoch, ranges: ranges.map_err(|e| e.to_string())? })
 }
 
-async fn answer(reading: &impl Reading, buffer: &mut BytesMut) -> Result<BytesFrame, String> {
+async fn answer(reading: &impl ReadHalf, buffer: &mut BytesMut) -> Result<BytesFrame, String> {
     loop {
         if let Some(frame) = resp::take_within(buffer, &MAP).map_err(|e| e.to_string())? {
             return Ok(frame);
--- a/crates/mothpier/src/start_times.rs
+++ b/crates/mothpier/src/start_times.rs
@@ -15,9 +15,9 @@
 
 use std::collections::BTreeMap;
 
-use brassrouter::{Condition, Micros, ServerId, ServerLine};
+use brassrouter::{Condition, Micros, ServerEntry, ServerId};
 
-use crate::{Plant, planted};
+use crate::{Mutation, mutation_active};
 
 /// A wall clock is stepped by no more than this.
 const LARGEST_STEP: Micros = 2 * 3_600_000_000;
@@ -64,11 +64,11 @@
     }
 
     /// Replaces the stated starts of a list's lines by those on the node's clock.
-    pub fn place<'a>(&mut self, now: Micros, lines: impl IntoIterator<Item = &'a mut ServerLine>) {
-        if planted(Plant::StartByWall) {
+    pub fn place<'a>(&mut self, now: Micros, lines: impl IntoIterator<Item = &'a mut ServerEntry>) {
+        if mutation_active(Mutation::StartByWall) {
             return;
         }
-        let mut lines: Vec<&mut ServerLine> = lines.into_iter().collect();
+        let mut lines: Vec<&mut ServerEntry> = lines.into_iter().collect();
         let stated = lines.iter().map(|line| line.started).max().unwrap_or_default();
         let newest = stated.max(self.surely_come(now));
         let wall_is_believed = !self.listed && self.careful_takes_many_for_cold(now, newest, &lines);
@@ -135,8 +135,8 @@
     }
 
     /// Whether many servers are warm by the wall clock, but cold by the careful reading.
-    fn careful_takes_many_for_cold(&self, now: Micros, newest: Micros, lines: &[&mut ServerLine]) -> bool {
-        let differs = |line: &&&mut ServerLine| {
+    fn careful_takes_many_for_cold(&self, now: Micros, newest: Micros, lines: &[&mut ServerEntry]) -> bool {
+        let differs = |line: &&&mut ServerEntry| {
             let careful = self.least_age(now, line.started, newest, false);
             let by_wall = now.saturating_sub(line.started);
             line.started > 0 && careful < self.warm_up && by_wall >= self.warm_up
--- a/crates/mothpier/src/start_times/tests.rs
+++ b/crates/mothpier/src/start_times/tests.rs
@@ -8,12 +8,12 @@
 
 /// Ages of servers that started so long ago by the right time, at a node whose clock is off by a step.
 fn ages(starts: &mut StartTimes, clock: Micros, started: &[Micros]) -> Vec<Micros> {
-    let line = |(id, started): (usize, &Micros)| ServerLine {
+    let line = |(id, started): (usize, &Micros)| ServerEntry {
         id: id as ServerId,
         started: *started,
-        ..ServerLine::default()
+        ..ServerEntry::default()
     };
-    let mut lines: Vec<ServerLine> = started.iter().enumerate().map(line).collect();
+    let mut lines: Vec<ServerEntry> = started.iter().enumerate().map(line).collect();
     starts.place(clock, &mut lines);
     lines.iter().map(|line| if line.started == 0 { Micros::MAX } else { clock - line.started }).collect()
 }
--- a/crates/mothpier/src/time_budget.rs
+++ b/crates/mothpier/src/time_budget.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 
 use crate::messages::Command;
-use crate::{Plant, planted};
+use crate::{Mutation, mutation_active};
 
 /// A client's command, and when its result is of no use to this attempt any more.
 #[derive(Clone)]
@@ -29,7 +29,7 @@
         if left.is_zero() {
             return Err(DeadlinePassed);
         }
-        if planted(Plant::StaleTimeLeft) {
+        if mutation_active(Mutation::StaleTimeLeft) {
             return Ok(String::from_utf8_lossy(&self.command.extras).into_owned());
         }
         Ok(self.command.extras_with_wait(left))
--- a/crates/mothpierctl/src/fleet.rs
+++ b/crates/mothpierctl/src/fleet.rs
@@ -71,7 +71,7 @@
 
 impl Who {
     fn note(&self) -> AuditNote {
-        let at_ms = Tokio.wall().as_millis() as u64;
+        let at_ms = Tokio.unix_time().as_millis() as u64;
         AuditNote { by: self.by.clone(), reason: self.reason.clone(), at_ms }
     }
 }
@@ -362,7 +362,7 @@
             if watch && std::io::stdout().is_terminal() {
                 print("\x1b[H\x1b[2J")?;
             }
-            print(&fleet_shown::status(&fleet, Tokio.wall().as_millis() as u64))?;
+            print(&fleet_shown::status(&fleet, Tokio.unix_time().as_millis() as u64))?;
         }
         if !watch {
             return Ok(GOOD);
--- a/crates/mothpierctl/src/plan.rs
+++ b/crates/mothpierctl/src/plan.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use brassrouter::settings::server_number;
-use brassrouter::{Action, Event, ListKind, Outcome, Policy, Request, ServerLine, Status};
+use brassrouter::{Action, Event, ListKind, Outcome, Policy, Request, ServerEntry, Status};
 use mothpier::config::{self, Precedence};
 use mothpier_config::app::{BOX_PORT, Command};
 use mothpier_config::place::Place;
@@ -92,9 +92,8 @@
 fn play(text: &str, lines: &[Line], asked: &Asked) -> Result<BTreeMap<String, Gets>, String> {
     let config = config::parse(text.as_bytes(), &|_| None, Precedence::File)?;
     let site = config.site;
-    let origin = site.decisions.origin_kind.and_then(|k| site.kinds.get(usize::from(k)).cloned());
-    let class =
-        site.decisions.classes.iter().position(|c| c.effect == brassrouter::Effect::Safe).unwrap_or(0);
+    let origin = site.policy.origin_kind.and_then(|k| site.kinds.get(usize::from(k)).cloned());
+    let class = site.policy.classes.iter().position(|c| c.effect == brassrouter::Effect::Safe).unwrap_or(0);
     let mut gets = BTreeMap::new();
     let (mut servers, mut ids) = (Vec::new(), BTreeMap::new());
     for line in lines
@@ -104,11 +103,11 @@
         let id = server_number(&line.id, 0);
         let kind = site.kinds.iter().position(|k| *k == line.flavor).unwrap_or(0) as u16;
         let started = if asked.cold.contains(&line.id) { START_US } else { 0 };
-        servers.push(ServerLine { id, kind, started, ..ServerLine::default() });
+        servers.push(ServerEntry { id, kind, started, ..ServerEntry::default() });
         ids.insert(id, line.id.clone());
         gets.insert(line.id.clone(), Gets { address: line.host_port.clone(), keys: 0 });
     }
-    let mut policy = Policy::new(site.decisions.clone(), 1);
+    let mut policy = Policy::new(site.policy.clone(), 1);
     let (mut now, mut actions) = (START_US, Vec::new());
     policy.handle(now, Event::ServerList { kind: ListKind::Full, servers }, &mut actions);
     for key in 1..=u64::from(asked.keys) {
@@ -131,9 +130,9 @@
             attempt: 0,
             server,
             status: Status::Served,
-            over: true,
-            note: brassrouter::Note::Hit,
-            took: 1_000,
+            request_finished: true,
+            lookup: brassrouter::CacheLookup::Hit,
+            elapsed: 1_000,
             load: brassrouter::Load::default(),
         };
         policy.handle(now + 1_000, Event::Outcome(outcome), &mut actions);
--- a/src/bin/brassrouter-drill/codec.rs
+++ b/src/bin/brassrouter-drill/codec.rs
@@ -1,7 +1,7 @@
 //! Frames of the wire: batches of event records in, replies of action records out.
 
 use brassrouter::{
-    Action, Condition, ListKind, Load, Micros, Note, Outcome, Request, ServerId, ServerLine, Status,
+    Action, CacheLookup, Condition, ListKind, Load, Micros, Outcome, Request, ServerEntry, ServerId, Status,
 };
 
 /// Size of a batch header.
@@ -57,7 +57,7 @@
         /// Number of the list.
         number: u16,
         /// Its lines.
-        lines: Vec<ServerLine>,
+        lines: Vec<ServerEntry>,
     },
     /// An instance is killed.
     Stop(u16),
@@ -88,14 +88,14 @@
             let settings = tail_part(tail, r, 11, 1)?;
             return Ok(Record::Start { node, seed: u64_at(r, 3), settings });
         }
-        6 => brassrouter::Event::Probed {
+        6 => brassrouter::Event::ProbeFinished {
             ok: u16_at(r, 3) == 200,
             took: u32_at(r, 5).into(),
             server: u32_at(r, 9),
             load: load(r, 13),
         },
         7 => return Ok(Record::Stop(node)),
-        8 => brassrouter::Event::AnswerBegan { request: u64_at(r, 3), attempt: u16_at(r, 15) },
+        8 => brassrouter::Event::AnswerStarted { request: u64_at(r, 3), attempt: u16_at(r, 15) },
         9 => {
             let part = tail_part(tail, r, 3, LINE_SIZE)?;
             let lines = part.chunks_exact(LINE_SIZE).map(line).collect::<Result<_, _>>()?;
@@ -150,17 +150,17 @@
         other => return Err(format!("unknown outcome {other}")),
     };
     let note = match u32_at(r, 11) {
-        1 => Note::Hit,
-        2 => Note::Miss,
-        3 => Note::MissBeingFetched,
-        _ => Note::None,
+        1 => CacheLookup::Hit,
+        2 => CacheLookup::Miss,
+        3 => CacheLookup::MissFetchPending,
+        _ => CacheLookup::None,
     };
     Ok(Outcome {
         request: u64_at(r, 3),
-        note,
-        took: u32_at(r, 15).into(),
+        lookup: note,
+        elapsed: u32_at(r, 15).into(),
         attempt: u16_at(r, 19),
-        over: r[21] != 0,
+        request_finished: r[21] != 0,
         status,
         server: u32_at(r, 24),
         load: load(r, 28),
@@ -172,14 +172,14 @@
     Load { count: r[at].min(4), values }
 }
 
-fn line(r: &[u8]) -> Result<ServerLine, String> {
+fn line(r: &[u8]) -> Result<ServerEntry, String> {
     let condition = match r[9] {
         0 => Condition::Gone,
         1 => Condition::Ready,
         2 => Condition::Draining,
         other => return Err(format!("census line with unknown condition {other}")),
     };
-    Ok(ServerLine {
+    Ok(ServerEntry {
         zone: r[0],
         started: u64_at(r, 1),
         condition,
@@ -232,7 +232,7 @@
         let mut r = [0u8; ACTION_SIZE];
         r[1..3].copy_from_slice(&node.to_le_bytes());
         match action {
-            Action::Send { request, server, give_up_after, .. } => {
+            Action::Send { request, server, timeout: give_up_after, .. } => {
                 r[0] = 1;
                 put(&mut r, 3, &request.to_le_bytes());
                 put(&mut r, 11, &server.to_le_bytes());
@@ -259,7 +259,7 @@
             }
             Action::Probe(server) => self.name_server(&mut r, 6, *server),
             Action::CloseIdle(server) => self.name_server(&mut r, 7, *server),
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 r[0] = 8;
                 put(&mut r, 3, &to.unwrap_or(u32::MAX).to_le_bytes());
                 self.put_tail(&mut r, 7, bytes);
--- a/src/bin/brassrouter-drill/codec/tests.rs
+++ b/src/bin/brassrouter-drill/codec/tests.rs
@@ -23,7 +23,7 @@
     let (i, s) = (id.to_le_bytes(), server.to_le_bytes());
     let cases = [
         (
-            Action::Send { request: id, server, give_up_after: 80_000, asking: false },
+            Action::Send { request: id, server, timeout: 80_000, asking: false },
             record(1, &[(3, &i), (11, &s), (15, &80_000u32.to_le_bytes())]),
         ),
         (Action::Refuse { request: id, retry_after: 7 }, record(2, &[(3, &i), (11, &7u32.to_le_bytes())])),
@@ -35,8 +35,8 @@
         ),
         (Action::Probe(server), record(6, &[(3, &s)])),
         (Action::CloseIdle(server), record(7, &[(3, &s)])),
-        (Action::Tell { to: None, bytes: b"hi".to_vec() }, record(8, &[(3, &[0xff; 4]), (7, &tail)])),
-        (Action::Tell { to: Some(4), bytes: b"hi".to_vec() }, record(8, &[(3, &[4]), (7, &tail)])),
+        (Action::SendToPeer { to: None, bytes: b"hi".to_vec() }, record(8, &[(3, &[0xff; 4]), (7, &tail)])),
+        (Action::SendToPeer { to: Some(4), bytes: b"hi".to_vec() }, record(8, &[(3, &[4]), (7, &tail)])),
         (Action::Log("hi".into()), record(9, &[(3, &tail)])),
         (Action::Fault("hi".into()), record(10, &[(3, &tail)])),
         (Action::Subscribe(true), record(11, &[(3, &[1])])),
@@ -46,7 +46,7 @@
     for (action, expected) in cases {
         let (got, rest) = encoded(action.clone());
         assert_eq!(got, expected, "{action:?}");
-        let text = matches!(action, Action::Tell { .. } | Action::Log(_) | Action::Fault(_));
+        let text = matches!(action, Action::SendToPeer { .. } | Action::Log(_) | Action::Fault(_));
         assert_eq!(rest, if text { b"hi".to_vec() } else { Vec::new() });
     }
 }
@@ -87,9 +87,9 @@
         attempt: 1,
         server: 6,
         status: Status::Full,
-        over: true,
-        note: Note::MissBeingFetched,
-        took: 40,
+        request_finished: true,
+        lookup: CacheLookup::MissFetchPending,
+        elapsed: 40,
         load,
     };
     assert_eq!(read_record(&body, 2, 1), Ok(Record::Event(0, brassrouter::Event::Outcome(outcome))));
--- a/src/bin/brassrouter-drill/main.rs
+++ b/src/bin/brassrouter-drill/main.rs
@@ -6,7 +6,7 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-use brassrouter::{Action, Event, ListKind, Micros, Policy, ServerLine, settings};
+use brassrouter::{Action, Event, ListKind, Micros, Policy, ServerEntry, settings};
 use codec::{BATCH_HEADER, BatchHeader, Record, Reply};
 
 /// Numbered lists run from 0 to this, exclusive.
@@ -22,7 +22,7 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<u16, Instance>,
-    lists: [Option<Vec<ServerLine>>; LISTS],
+    lists: [Option<Vec<ServerEntry>>; LISTS],
     actions: Vec<Action>,
     reply: Reply,
 }
@@ -40,7 +40,7 @@
     fn record(&mut self, now: Micros, record: Record<'_>) -> Result<(), String> {
         match record {
             Record::Start { node, seed, settings } => {
-                let settings = settings::read(settings)?.decisions;
+                let settings = settings::read(settings)?.policy;
                 let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
                 let policy = Policy::new(settings, seed);
                 self.instances.insert(node, Instance { policy, classes, tenants });
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -17,15 +17,15 @@
     /// How many balancers share the fleet.
     pub balancers: u32,
     /// The number of this balancer among them, from 0.
-    pub me: u32,
+    pub own_index: u32,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The tenants; empty where a deployment has none.
     pub tenants: Vec<Tenant>,
     /// Whether the server list must be asked for (subscription or whole list) or comes by itself.
-    pub ask_discovery: bool,
+    pub pull_discovery: bool,
     /// Without a subscription, the balancer counts as told of changes this long after they happened.
-    pub ask_within: Micros,
+    pub change_notice_limit: Micros,
     /// Machine kind of the origin in the server list; `None` where servers fetch for themselves.
     pub origin_kind: Option<u16>,
     /// Whether weights in the list tell the size of a server.
@@ -39,7 +39,7 @@
     /// Whether an attempt may be cancelled.
     pub may_cancel: bool,
     /// Whether balancers may send each other messages.
-    pub may_tell_peers: bool,
+    pub may_message_peers: bool,
     /// A connection that is not made within this time fails.
     pub connect_timeout: Micros,
     /// Shortest time between two calls of the module.
@@ -76,18 +76,18 @@
     fn default() -> Self {
         Settings {
             balancers: 1,
-            me: 0,
+            own_index: 0,
             classes: vec![Class::default()],
             tenants: Vec::new(),
-            ask_discovery: false,
-            ask_within: 10_000_000,
+            pull_discovery: false,
+            change_notice_limit: 10_000_000,
             origin_kind: None,
             weights_are_sizes: false,
             load_fields: Vec::new(),
             max_attempts: 3,
             may_duplicate: true,
             may_cancel: false,
-            may_tell_peers: false,
+            may_message_peers: false,
             connect_timeout: 250_000,
             tick: 1_000,
             cold_share: 0.25,
@@ -106,7 +106,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub target_latency: Micros,
     /// A client waits this long in all.
     pub deadline: Micros,
     /// Worth of one request.
@@ -126,7 +126,7 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim: 250_000,
+            target_latency: 250_000,
             deadline: 1_000_000,
             worth: 1.0,
             late_worth: 0.0,
@@ -210,7 +210,7 @@
 
 /// One line of the server list.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServerLine {
+pub struct ServerEntry {
     /// The server.
     pub id: ServerId,
     /// Its zone.
@@ -227,9 +227,9 @@
     pub condition: Condition,
 }
 
-impl Default for ServerLine {
+impl Default for ServerEntry {
     fn default() -> Self {
-        ServerLine { id: 0, zone: 0, cell: 0, kind: 0, weight: 1.0, started: 0, condition: Condition::Ready }
+        ServerEntry { id: 0, zone: 0, cell: 0, kind: 0, weight: 1.0, started: 0, condition: Condition::Ready }
     }
 }
 
@@ -335,7 +335,7 @@
 
 /// What a server said of the key in its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Note {
+pub enum CacheLookup {
     /// Nothing.
     #[default]
     None,
@@ -344,7 +344,7 @@
     /// It was not.
     Miss,
     /// It was not, and another request has been told to fetch it.
-    MissBeingFetched,
+    MissFetchPending,
 }
 
 /// The end of one attempt.
@@ -359,11 +359,11 @@
     /// How it ended.
     pub status: Status,
     /// Whether the request has its final answer (by this outcome or before).
-    pub over: bool,
+    pub request_finished: bool,
     /// What the server said of the key.
-    pub note: Note,
+    pub lookup: CacheLookup,
     /// Time from sending to this end.
-    pub took: Micros,
+    pub elapsed: Micros,
     /// Load report of the server, if one came along.
     pub load: Load,
 }
@@ -376,14 +376,14 @@
         /// How it relates to the list held.
         kind: ListKind,
         /// Its lines.
-        servers: Vec<ServerLine>,
+        servers: Vec<ServerEntry>,
     },
     /// This process is such a part of the balancer from now on: while another one takes its place, both serve.
-    Part(f64),
+    ProcessShare(f64),
     /// The process ends: every final answer is due by then.
-    AnswersBy(Micros),
+    AnswerDeadline(Micros),
     /// Which servers hold which slots, where the cache servers form a cluster.
-    Slots {
+    SlotMap {
         /// Whether slots that it does not name are nobody's; they stay as they were otherwise.
         whole: bool,
         /// Ranges in order, none over another.
@@ -394,7 +394,7 @@
     /// An attempt ended.
     Outcome(Outcome),
     /// A streamed answer began; the attempt belongs to the client now.
-    AnswerBegan {
+    AnswerStarted {
         /// Its request.
         request: RequestId,
         /// The attempt that began to answer.
@@ -405,7 +405,7 @@
     /// A timer set by [`Action::Timer`] is due.
     Timer(u32),
     /// The end of a probe.
-    Probed {
+    ProbeFinished {
         /// The server probed.
         server: ServerId,
         /// Whether it answered well.
@@ -434,7 +434,7 @@
         /// The server.
         server: ServerId,
         /// Give the attempt up after this time; 0 for the client's own limit.
-        give_up_after: Micros,
+        timeout: Micros,
         /// Say in the same breath that it is asked in the name of a slot's move.
         asking: bool,
     },
@@ -470,7 +470,7 @@
     /// Close idle connections to a server.
     CloseIdle(ServerId),
     /// Send at most 256 bytes to one balancer, or to all.
-    Tell {
+    SendToPeer {
         /// Number of the balancer; `None` for every peer.
         to: Option<u32>,
         /// The bytes.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,7 @@
 //! to do ([`Action`]). It has no clock, no threads and no I/O: the node that embeds it owns the sockets.
 //!
 //! ```
-//! use brassrouter::{Action, Condition, Event, ListKind, Policy, Request, ServerLine, Settings};
+//! use brassrouter::{Action, Condition, Event, ListKind, Policy, Request, ServerEntry, Settings};
 //!
 //! let settings = Settings::default();
 //! let mut policy = Policy::new(settings, 42);
@@ -12,8 +12,8 @@
 //!
 //! // The balancer starts at some clock value (microseconds) with the server list it last held.
 //! let servers = vec![
-//!     ServerLine { id: 7, condition: Condition::Ready, ..ServerLine::default() },
-//!     ServerLine { id: 9, condition: Condition::Ready, ..ServerLine::default() },
+//!     ServerEntry { id: 7, condition: Condition::Ready, ..ServerEntry::default() },
+//!     ServerEntry { id: 9, condition: Condition::Ready, ..ServerEntry::default() },
 //! ];
 //! policy.handle(1_000_000, Event::ServerList { kind: ListKind::Cached, servers }, &mut actions);
 //!
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -130,7 +130,7 @@
 impl Policy {
     /// A balancer that knows its settings and nothing else yet.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let aims = settings.classes.iter().map(|c| c.aim);
+        let aims = settings.classes.iter().map(|c| c.target_latency);
         let quotas: f64 = settings.tenants.iter().map(|t| t.quota_per_s).sum();
         let quota_share = quotas / f64::from(settings.balancers.max(1));
         let most_out = match settings.shares {
@@ -148,7 +148,7 @@
             quarters: settings
                 .classes
                 .iter()
-                .map(|c| Quantile::at(c.aim as f64 * PATIENCE.0 / PATIENCE.1))
+                .map(|c| Quantile::at(c.target_latency as f64 * PATIENCE.0 / PATIENCE.1))
                 .collect(),
             rng: Random::new(seed),
             last_told: seed as u32 >> 1,
@@ -180,16 +180,16 @@
         match event {
             Event::ServerList { kind: ListKind::Failed, .. } => self.discovery_failed(out),
             Event::ServerList { kind, servers } => self.server_list(kind, servers, out),
-            Event::Slots { whole, ranges } => self.slots.take(whole, ranges),
-            Event::Part(part) => self.part = part.clamp(0.01, 1.0),
-            Event::AnswersBy(at) => self.answers_by(at),
+            Event::SlotMap { whole, ranges } => self.slots.take(whole, ranges),
+            Event::ProcessShare(part) => self.part = part.clamp(0.01, 1.0),
+            Event::AnswerDeadline(at) => self.answers_by(at),
             Event::Request(request) => self.request(request, out),
             Event::Outcome(outcome) => self.outcome(outcome, out),
             // A streamed answer belongs to the client: nothing is owed from here on.
-            Event::AnswerBegan { request, .. } | Event::ClientGone(request) => self.forget(request),
+            Event::AnswerStarted { request, .. } | Event::ClientGone(request) => self.forget(request),
             Event::Timer(_) => self.wakes.timer_came(),
             Event::PeerMessage { from, bytes } => self.peers.told(now, from, &bytes, self.senders.len()),
-            Event::Probed { .. } => {}
+            Event::ProbeFinished { .. } => {}
         }
         while let Some(wake) = self.wakes.due(now, out) {
             match wake {
@@ -205,7 +205,7 @@
     }
 
     /// Servers that are avoided now: they take nothing new, or most of their keys have gone elsewhere.
-    pub fn avoided(&self) -> impl Iterator<Item = ServerId> {
+    pub fn avoided_servers(&self) -> impl Iterator<Item = ServerId> {
         let avoided = |s: &&Server| s.line.condition != Condition::Ready || s.part < PART.2;
         self.servers.values().filter(avoided).map(|s| s.line.id)
     }
@@ -227,7 +227,7 @@
             heat,
             write: r.write,
             slot: r.slot,
-            aim_at: self.now + self.settings.classes[r.class].aim,
+            aim_at: self.now + self.settings.classes[r.class].target_latency,
             ends: (self.now + r.time_left.saturating_sub(2 * self.settings.tick)).min(self.last),
             ..Held::default()
         };
@@ -488,7 +488,7 @@
         // Less than one call of all balancers is one at a time: none at all would be for ever.
         let open = if whole > 0.0 { open } else { open.max(1.0) };
         let skipped = (turn % nodes) * self.gate.stride + offset % nodes;
-        let place = (u64::from(self.settings.me) + skipped) % nodes;
+        let place = (u64::from(self.settings.own_index) + skipped) % nodes;
         whole + f64::from(u8::from(place as f64 + 1.0 <= open))
     }
 
@@ -544,7 +544,7 @@
     /// Parks a request that a shut gate stops, for a random delay, while its answer can still earn.
     fn postpone(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let h = &self.held[&id];
-        let aim = self.settings.classes[h.class].aim as f64;
+        let aim = self.settings.classes[h.class].target_latency as f64;
         let delay = (aim * self.rng.between(DELAY)) as Micros + 1;
         if self.now + delay >= self.useful_until(h) {
             return self.end(id, out);
@@ -573,7 +573,7 @@
             true => 0.0,
             false => self.cold_bucket(h, s, self.traffic_within_quotas()).0 + 1.0,
         };
-        let (attempt, sent, aim) = (h.sent, self.now, self.settings.classes[h.class].aim);
+        let (attempt, sent, aim) = (h.sent, self.now, self.settings.classes[h.class].target_latency);
         let asking = h.follow.is_some_and(|(to, ask)| ask && to == server);
         let slow_after = (PATIENCE.1 * self.quarters[h.class].value).max(aim as f64 * PATIENCE.0);
         let slow_after = slow_after.min(aim as f64 * PATIENCE.2) as Micros;
@@ -588,7 +588,7 @@
             self.gate.enter(call);
         }
         self.flights.insert((id, attempt), Flight { server, call, sent, aim, slow_after });
-        out.push(Action::Send { request: id, server, give_up_after: 0, asking });
+        out.push(Action::Send { request: id, server, timeout: 0, asking });
         true
     }
 
@@ -616,7 +616,7 @@
         if flight.call == Call::Fetch {
             self.fetches.remove(&key);
         }
-        if o.over || o.status == Status::Served {
+        if o.request_finished || o.status == Status::Served {
             return self.forget(o.request);
         }
         if others_out && o.status != Status::Miss {
@@ -653,7 +653,7 @@
         if !matches!(o.status, Status::Reset | Status::ConnectFailed) {
             self.connected.insert(flight.server);
         }
-        let not_made = o.status == Status::ConnectFailed && o.took >= self.settings.connect_timeout;
+        let not_made = o.status == Status::ConnectFailed && o.elapsed >= self.settings.connect_timeout;
         // Of a server that answers nobody here it tells nothing: that one may be cut off or dead.
         let reached = s.heard >= flight.sent;
         self.slow_connects.add(f64::from(u8::from(not_made && reached)), 1.0);
@@ -689,8 +689,8 @@
         let slow = self.now - flight.sent > (self.origin_aim as f64 * GATE_CUT.2) as Micros;
         let g = &mut self.gate;
         g.leave(flight.call);
-        g.took += (o.took as f64 - g.took) * TURN.1;
-        g.usual += (o.took as f64 - g.usual) * TURN.2;
+        g.took += (o.elapsed as f64 - g.took) * TURN.1;
+        g.usual += (o.elapsed as f64 - g.usual) * TURN.2;
         let was = g.limit;
         if o.status == Status::Served && !slow {
             g.limit = (g.limit + 1.0 / g.limit).min(g.most_out);
@@ -793,7 +793,7 @@
     fn end(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(h) = self.held.get(&id) else { return };
         let class = &self.settings.classes[h.class];
-        let retry_after = (class.aim as f64 * self.rng.between(DELAY)) as Micros + 1;
+        let retry_after = (class.target_latency as f64 * self.rng.between(DELAY)) as Micros + 1;
         let harmless = class.effect == Effect::Safe || h.may_have_run == 0;
         out.push(if harmless { Action::Refuse { request: id, retry_after } } else { Action::Fail(id) });
         self.forget(id);
@@ -813,7 +813,7 @@
         }
     }
 
-    fn server_list(&mut self, kind: ListKind, lines: Vec<ServerLine>, out: &mut Vec<Action>) {
+    fn server_list(&mut self, kind: ListKind, lines: Vec<ServerEntry>, out: &mut Vec<Action>) {
         if kind != ListKind::Cached {
             self.subscribed = true;
         }
@@ -871,16 +871,16 @@
 
     /// Asks for changes of the list, again when none come: not asking counts as told after a while.
     fn subscribe(&mut self, out: &mut Vec<Action>) {
-        if self.settings.ask_discovery && !self.subscribed && self.now >= self.ask_at {
+        if self.settings.pull_discovery && !self.subscribed && self.now >= self.ask_at {
             out.push(Action::Subscribe(true));
-            self.ask_at = self.now + self.settings.ask_within.max(self.aim);
-            self.wake(self.settings.ask_within.max(self.aim), Wake::Subscribe);
+            self.ask_at = self.now + self.settings.change_notice_limit.max(self.aim);
+            self.wake(self.settings.change_notice_limit.max(self.aim), Wake::Subscribe);
         }
     }
 
     /// Discovery has little capacity: not all ask it again at once, but all before its changes count as told.
     fn discovery_failed(&mut self, out: &mut Vec<Action>) {
-        let base = (self.settings.ask_within / 2).min(ASK_AGAIN);
+        let base = (self.settings.change_notice_limit / 2).min(ASK_AGAIN);
         let delay = (base as f64 * (0.5 + self.rng.unit())) as Micros;
         (self.subscribed, self.ask_at) = (false, self.now + delay);
         self.wake(delay, Wake::Subscribe);
@@ -908,7 +908,7 @@
         self.senders.iter_mut().for_each(|s| s.rate.roll(period));
         self.reviews += 1;
         self.peers.forget_silent_since(self.now.saturating_sub(period * Micros::from(TELL.0 * TELL.1)));
-        if self.settings.may_tell_peers && self.reviews.is_multiple_of(TELL.0) {
+        if self.settings.may_message_peers && self.reviews.is_multiple_of(TELL.0) {
             self.tell(out);
         }
         self.close_rested(strain, out);
@@ -952,8 +952,8 @@
         let others = self.settings.balancers.saturating_sub(1);
         for _ in 0..others.min(TELL.2) {
             self.last_told = self.last_told % others + 1;
-            let to = (self.settings.me + self.last_told) % (others + 1);
-            out.push(Action::Tell { to: Some(to), bytes: bytes.clone() });
+            let to = (self.settings.own_index + self.last_told) % (others + 1);
+            out.push(Action::SendToPeer { to: Some(to), bytes: bytes.clone() });
         }
     }
 }
--- a/src/ready_servers/tests.rs
+++ b/src/ready_servers/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::interface::ServerLine;
+use crate::interface::ServerEntry;
 
 fn server(id: ServerId, kind: u16, zone: u8) -> Server {
-    let line = ServerLine { id, kind, zone, condition: Condition::Ready, ..ServerLine::default() };
+    let line = ServerEntry { id, kind, zone, condition: Condition::Ready, ..ServerEntry::default() };
     Server { line, part: 1.0, ..Server::default() }
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone)]
 pub struct Site {
     /// What the module acts on.
-    pub decisions: Settings,
+    pub policy: Settings,
     /// Names of the classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
@@ -120,7 +120,7 @@
         let base = Settings::default();
         Wire {
             balancers: base.balancers,
-            me: base.me,
+            me: base.own_index,
             classes: Vec::new(),
             realms: Vec::new(),
             discovery: "push".into(),
@@ -141,7 +141,7 @@
         let base = Class::default();
         WireClass {
             name: String::new(),
-            goal_time_us: base.aim as f64,
+            goal_time_us: base.target_latency as f64,
             deadline_us: base.deadline as f64,
             gain: base.worth,
             late_value: base.late_worth,
@@ -181,7 +181,7 @@
     fn default() -> Self {
         let base = Settings::default();
         Guarantees {
-            ask_within_us: base.ask_within as f64,
+            ask_within_us: base.change_notice_limit as f64,
             cold_share: base.cold_share,
             cold_us: base.warm_up as f64,
             drain_grace_us: 1e6,
@@ -203,18 +203,18 @@
     let limits = wire.limits;
     let decisions = Settings {
         balancers: wire.balancers,
-        me: wire.me,
+        own_index: wire.me,
         classes,
         tenants: wire.realms.iter().map(|r| Tenant { quota_per_s: r.quota_per_s }).collect(),
-        ask_discovery: wire.discovery == "ask",
-        ask_within: micros(wire.guarantees.ask_within_us),
+        pull_discovery: wire.discovery == "ask",
+        change_notice_limit: micros(wire.guarantees.ask_within_us),
         origin_kind: origin.flatten(),
         weights_are_sizes: matches!(wire.weight_source.as_str(), "nominal" | "rough"),
         load_fields: wire.report.fields.iter().map(|f| load_field(f)).collect(),
         max_attempts: limits.max_attempts,
         may_duplicate: limits.may_duplicate,
         may_cancel: limits.may_cancel,
-        may_tell_peers: limits.peers,
+        may_message_peers: limits.peers,
         connect_timeout: micros(limits.connect_timeout_us),
         tick: micros(wire.period_us),
         cold_share: wire.guarantees.cold_share,
@@ -225,7 +225,7 @@
         ..Settings::default()
     };
     Ok(Site {
-        decisions,
+        policy: decisions,
         classes: wire.classes.into_iter().map(|c| c.name).collect(),
         tenants: wire.realms.into_iter().map(|r| r.name).collect(),
         zones: wire.zones,
@@ -254,7 +254,7 @@
         }
     };
     Ok(Class {
-        aim: micros(c.goal_time_us),
+        target_latency: micros(c.goal_time_us),
         deadline: micros(c.deadline_us),
         worth: c.gain,
         late_worth: c.late_value,
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,7 +6,7 @@
 use oorandom::Rand64;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::interface::{Action, Key, Micros, RequestId, ServerId, ServerLine, SlotRange};
+use crate::interface::{Action, Key, Micros, RequestId, ServerEntry, ServerId, SlotRange};
 
 /// Why an attempt is out.
 #[derive(Clone, Copy, PartialEq)]
@@ -30,7 +30,7 @@
 /// A server of the list, and what this balancer has seen of it.
 #[derive(Default)]
 pub struct Server {
-    pub line: ServerLine,
+    pub line: ServerEntry,
     pub origin: bool,
     pub in_flight: u32,
     pub heard: Micros,
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -19,7 +19,7 @@
 /// A node with four servers, of which the given ones hold slot 7.
 fn node(settings: Settings, home: &[ServerId]) -> Node {
     let mut node = Node::new(settings, 4);
-    node.event(Event::Slots { whole: true, ranges: vec![range(0, 99, home)] });
+    node.event(Event::SlotMap { whole: true, ranges: vec![range(0, 99, home)] });
     node
 }
 
@@ -52,11 +52,11 @@
         slots.outcome(100 + key, 0, order.unwrap().0, Status::Served);
     }
     // A part of the map counts from now on, and leaves the rest as it was.
-    slots.event(Event::Slots { whole: false, ranges: vec![range(7, 7, &[1])] });
+    slots.event(Event::SlotMap { whole: false, ranges: vec![range(7, 7, &[1])] });
     assert_eq!(sent(&slots.request(of_slot(read(500, 9), 7))), Some((1, false)));
     assert_eq!(sent(&slots.request(of_slot(read(501, 9), 8))), Some((3, false)));
     // A whole one leaves nothing; what it can't mean does no harm.
-    slots.event(Event::Slots { whole: true, ranges: vec![range(9, u16::MAX, &[2]), range(5, 4, &[2])] });
+    slots.event(Event::SlotMap { whole: true, ranges: vec![range(9, u16::MAX, &[2]), range(5, 4, &[2])] });
     assert_ne!(sent(&slots.request(of_slot(read(502, 9), 8))).map(|s| s.0), None);
     assert_eq!(sent(&slots.request(of_slot(read(503, 9), 16_383))), Some((2, false)));
 }
@@ -125,7 +125,7 @@
 #[test]
 fn a_target_counts_only_where_the_list_has_it_ready() {
     let mut slots = node(through(), &[3]);
-    let draining = ServerLine { condition: Condition::Draining, ..server(2) };
+    let draining = ServerEntry { condition: Condition::Draining, ..server(2) };
     slots.list(ListKind::Delta, vec![draining]);
     for (n, status) in
         [to(2, false), to(2, true), to(77, false), to(3, false), Status::Redirected { to: None, ask: true }]
@@ -164,7 +164,7 @@
     assert!((10..30).contains(&sent), "{sent}: the gate is not shut");
     slots.outcome(10, 0, 3, to(2, true));
     // The server that was named begins to drain while the request waits, or has gone already.
-    slots.list(ListKind::Delta, vec![ServerLine { condition: Condition::Draining, ..server(2) }]);
+    slots.list(ListKind::Delta, vec![ServerEntry { condition: Condition::Draining, ..server(2) }]);
     let later = slots.pass(200 * MS);
     assert!(later.iter().all(|a| !matches!(a, Action::Send { server: 2, .. })), "{later:?}");
 }
@@ -176,7 +176,7 @@
     for redirected in [false, true] {
         let settings = Settings { cold_share: 0.1, ..settings() };
         let mut slots = node(settings, &[if redirected { 3 } else { 2 }]);
-        let cold = ServerLine { started: slots.now, ..server(2) };
+        let cold = ServerEntry { started: slots.now, ..server(2) };
         slots.list(ListKind::Delta, vec![cold]);
         let mut at_cold = 0;
         for id in 1..=400 {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -16,11 +16,16 @@
 }
 
 pub fn settings() -> Settings {
-    let read = Class { aim: 750 * MS, deadline: 1500 * MS, ..Class::default() };
+    let read = Class { target_latency: 750 * MS, deadline: 1500 * MS, ..Class::default() };
     let keyed = Effect::Keyed { group: Group::All, window: 200 * MS };
-    let write = Class { aim: 150 * MS, deadline: 300 * MS, effect: keyed, ..Class::default() };
-    let once =
-        Class { aim: 300 * MS, deadline: SECOND, effect: Effect::Unsafe, worth: 8.0, ..Class::default() };
+    let write = Class { target_latency: 150 * MS, deadline: 300 * MS, effect: keyed, ..Class::default() };
+    let once = Class {
+        target_latency: 300 * MS,
+        deadline: SECOND,
+        effect: Effect::Unsafe,
+        worth: 8.0,
+        ..Class::default()
+    };
     Settings {
         classes: vec![read, write, once],
         origin_kind: Some(ORIGIN_KIND),
@@ -29,12 +34,12 @@
     }
 }
 
-pub fn server(id: ServerId) -> ServerLine {
-    ServerLine { id, ..ServerLine::default() }
+pub fn server(id: ServerId) -> ServerEntry {
+    ServerEntry { id, ..ServerEntry::default() }
 }
 
-pub fn origin() -> ServerLine {
-    ServerLine { id: ORIGIN, kind: ORIGIN_KIND, ..ServerLine::default() }
+pub fn origin() -> ServerEntry {
+    ServerEntry { id: ORIGIN, kind: ORIGIN_KIND, ..ServerEntry::default() }
 }
 
 pub fn read(id: RequestId, key: Key) -> Request {
@@ -55,7 +60,7 @@
 
     /// A node with cache servers 1 to `servers` and an origin, a minute after their start.
     pub fn just_started(settings: Settings, servers: u32) -> Self {
-        let seed = 7 + u64::from(settings.me);
+        let seed = 7 + u64::from(settings.own_index);
         let policy = Policy::new(settings, seed);
         let mut node = Node { policy, now: 60 * SECOND, actions: Vec::new(), timers: Vec::new() };
         let mut lines: Vec<_> = (1..=servers).map(server).collect();
@@ -77,7 +82,7 @@
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, servers: Vec<ServerLine>) -> Vec<Action> {
+    pub fn list(&mut self, kind: ListKind, servers: Vec<ServerEntry>) -> Vec<Action> {
         self.event(Event::ServerList { kind, servers })
     }
 
@@ -93,8 +98,17 @@
         status: Status,
     ) -> Vec<Action> {
         let over = status == Status::Served;
-        let (note, load) = (Note::None, Load::default());
-        let outcome = Outcome { request, attempt, server, status, over, note, took: MS, load };
+        let (note, load) = (CacheLookup::None, Load::default());
+        let outcome = Outcome {
+            request,
+            attempt,
+            server,
+            status,
+            request_finished: over,
+            lookup: note,
+            elapsed: MS,
+            load,
+        };
         self.event(Event::Outcome(outcome))
     }
 
--- a/tests/cut.rs
+++ b/tests/cut.rs
@@ -35,7 +35,7 @@
         let node = |me: usize| {
             let settings = Settings {
                 balancers: NODES as u32,
-                me: me as u32,
+                own_index: me as u32,
                 connect_timeout: 250 * MS,
                 max_attempts: 3,
                 ..settings()
@@ -82,9 +82,9 @@
                         attempt: number,
                         server: *server,
                         status,
-                        over,
-                        note: Note::None,
-                        took,
+                        request_finished: over,
+                        lookup: CacheLookup::None,
+                        elapsed: took,
                         load: Load::default(),
                     };
                     self.numbers += 1;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -13,7 +13,7 @@
 /// All balancers' sends to a server that has just started, with the time since its start, over some seconds;
 /// `hot` in a hundred of their requests are for one key whose first server it is.
 fn sent_to_a_cold_server(seconds: u64, hot: u64) -> Vec<Micros> {
-    let settings = |me| Settings { balancers: BALANCERS, me, cold_share: 0.12, ..settings() };
+    let settings = |me| Settings { balancers: BALANCERS, own_index: me, cold_share: 0.12, ..settings() };
     let first = |key| sent_to(&Node::new(settings(0), SERVERS).request(read(1, key))).unwrap();
     let hot_key = (1..).find(|key| first(*key) == 2).unwrap();
     let mut sent = Vec::new();
@@ -24,7 +24,7 @@
         for id in 1..=(5 + seconds) * SECOND / GAP {
             node.pass(GAP);
             if node.now >= start && !listed {
-                let servers = vec![ServerLine { id: 2, started: start, ..ServerLine::default() }];
+                let servers = vec![ServerEntry { id: 2, started: start, ..ServerEntry::default() }];
                 node.event(Event::ServerList { kind: ListKind::Delta, servers });
                 listed = true;
             }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -220,7 +220,7 @@
         let first = sent_to(&node.request(read(1, 9))).unwrap();
         let lines = match kind {
             ListKind::Full => (1..=3).filter(|id| *id != first).map(server).chain([origin()]).collect(),
-            _ => vec![ServerLine { condition, ..server(first) }],
+            _ => vec![ServerEntry { condition, ..server(first) }],
         };
         node.list(kind, lines);
         for id in 2..=40 {
@@ -235,7 +235,7 @@
     for id in 1..=6 {
         node.request(write(id, 1));
     }
-    node.list(ListKind::Delta, vec![ServerLine { condition: Condition::Draining, ..origin() }]);
+    node.list(ListKind::Delta, vec![ServerEntry { condition: Condition::Draining, ..origin() }]);
     node.outcome(1, 0, ORIGIN, Status::Served);
     let after = node.pass(SECOND);
     assert_eq!(sends(&after), 0);
@@ -247,7 +247,7 @@
     let share_at = |age: Micros| {
         let mut node = Node::new(settings(), 4);
         let started = node.now;
-        node.list(ListKind::Delta, vec![ServerLine { started, ..server(2) }]);
+        node.list(ListKind::Delta, vec![ServerEntry { started, ..server(2) }]);
         node.now += age;
         let mut at_cold = 0;
         for id in 1..=2000 {
@@ -296,7 +296,7 @@
     // Full size, manila-later big-2: a balancer that sends a silent server one request in seconds never
     // sees three failures in a row; its peers' signs of trouble count as well.
     let share = |cases: f32| {
-        let mut config = Settings { balancers: 4, may_tell_peers: true, ..settings() };
+        let mut config = Settings { balancers: 4, may_message_peers: true, ..settings() };
         config.tenants = Vec::new();
         let mut node = Node::new(config, 4);
         let victim = sent_to(&node.request(read(1, 9))).unwrap();
@@ -339,15 +339,15 @@
                     node.outcome(1000 + id, 0, same, Status::Served);
                 }
             }
-            let (note, load) = (Note::None, Load::default());
+            let (note, load) = (CacheLookup::None, Load::default());
             let next = node.event(Event::Outcome(Outcome {
                 request: id,
                 attempt: 0,
                 server: to,
                 status,
-                over,
-                note,
-                took,
+                request_finished: over,
+                lookup: note,
+                elapsed: took,
                 load,
             }));
             if let Some(next) = sent_to(&next) {
@@ -375,14 +375,14 @@
     // Incident i2b5824: a burst of one from each of 120 balancers pushed servers over that had just started.
     let mut sent = 0;
     for me in 0..100 {
-        let mut node = Node::new(Settings { balancers: 100, me, ..settings() }, 4);
+        let mut node = Node::new(Settings { balancers: 100, own_index: me, ..settings() }, 4);
         for id in 1..=100 {
             let to = sent_to(&node.request(read(id, id))).unwrap();
             node.outcome(id, 0, to, Status::Served);
             node.pass(10 * MS);
         }
         let now = node.now;
-        let servers = vec![ServerLine { id: 2, started: now, ..ServerLine::default() }];
+        let servers = vec![ServerEntry { id: 2, started: now, ..ServerEntry::default() }];
         node.event(Event::ServerList { kind: ListKind::Delta, servers });
         for id in 200..=204 {
             let to = sent_to(&node.request(read(id, id))).unwrap();
@@ -541,7 +541,7 @@
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 100.0 }];
     config.balancers = 4;
-    config.may_tell_peers = true;
+    config.may_message_peers = true;
     let mut node = Node::new(config, 20);
     let mut served = 0;
     for id in 1..=1000u64 {
@@ -556,7 +556,10 @@
         }
     }
     assert!(served > 990, "71 a second here and 15 elsewhere are within 100: {served}");
-    assert!(node.actions.iter().any(|a| matches!(a, Action::Tell { to: Some(3), .. })), "and peers are told");
+    assert!(
+        node.actions.iter().any(|a| matches!(a, Action::SendToPeer { to: Some(3), .. })),
+        "and peers are told"
+    );
 }
 
 /// A peer's message: figures as the upper halves of 32-bit floats.
@@ -569,13 +572,13 @@
     // Found on the first full-size days: told to all, 300 balancers sent more than the network takes.
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 100.0 }];
-    (config.balancers, config.me, config.may_tell_peers) = (301, 7, true);
+    (config.balancers, config.own_index, config.may_message_peers) = (301, 7, true);
     let mut node = Node::new(config, 21);
     for _ in 0..1000 {
         node.pass(10 * MS);
     }
     let told: Vec<u32> = (node.actions.iter())
-        .filter_map(|a| if let Action::Tell { to, .. } = a { to.as_ref().copied() } else { None })
+        .filter_map(|a| if let Action::SendToPeer { to, .. } = a { to.as_ref().copied() } else { None })
         .collect();
     assert!(!told.contains(&7) && told.iter().all(|&to| to < 301));
     assert!((300..1000).contains(&told.len()), "{} messages in 10 s", told.len());
@@ -608,7 +611,7 @@
     // Incident ib6953e: with figures of twice that age the level kept falling after the overload was over.
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 10.0 }];
-    (config.balancers, config.may_tell_peers) = (2, true);
+    (config.balancers, config.may_message_peers) = (2, true);
     let mut node = Node::new(config, 4);
     for id in 1..=200u64 {
         if id == 150 {
@@ -629,7 +632,7 @@
     let refused = |cases: f32| {
         let mut config = settings();
         config.tenants = vec![Tenant { quota_per_s: 10.0 }];
-        (config.balancers, config.may_tell_peers) = (4, true);
+        (config.balancers, config.may_message_peers) = (4, true);
         let mut node = Node::new(config, 22);
         for id in 1..=400u64 {
             for peer in 1..4 {
@@ -648,7 +651,7 @@
 
 #[test]
 fn a_failed_call_to_discovery_is_repeated_later_and_not_at_once() {
-    let config = Settings { ask_discovery: true, ..settings() };
+    let config = Settings { pull_discovery: true, ..settings() };
     let mut node = Node::new(config, 3);
     assert!(node.actions.contains(&Action::Subscribe(true)), "subscribes at the start");
     node.actions.clear();
@@ -678,8 +681,8 @@
     assert!(node.actions.len() < 1500, "{} actions in an idle minute", node.actions.len());
 }
 
-fn in_zone(id: ServerId, zone: u8, kind: u16) -> ServerLine {
-    ServerLine { zone, kind, ..server(id) }
+fn in_zone(id: ServerId, zone: u8, kind: u16) -> ServerEntry {
+    ServerEntry { zone, kind, ..server(id) }
 }
 
 #[test]
@@ -700,7 +703,7 @@
                 attempt += 1;
             }
         }
-        let gone = permitted.map(|id| ServerLine { condition: Condition::Gone, ..server(id) });
+        let gone = permitted.map(|id| ServerEntry { condition: Condition::Gone, ..server(id) });
         node.list(ListKind::Delta, gone.to_vec());
         let answer = node.request(read(100, 9));
         assert!(sends(&answer) == 0 && refused(&answer, 100), "held or ended, never sent elsewhere");
@@ -724,24 +727,24 @@
     let closes = |actions: &[Action], id| actions.contains(&Action::CloseIdle(id));
     let mut node = Node::new(Settings { drain_close: Some(close), ..settings() }, 3);
     let to = sent_to(&node.request(read(1, 9))).unwrap();
-    let draining = ServerLine { condition: Condition::Draining, ..server(to) };
+    let draining = ServerEntry { condition: Condition::Draining, ..server(to) };
     assert!(closes(&node.list(ListKind::Delta, vec![draining.clone()]), to), "at the notice");
     assert!(closes(&node.pass(close - MS), to), "again, for one that was being opened then");
     node.list(ListKind::Delta, vec![draining]);
     node.pass(2 * SECOND);
     assert!(closes(&node.outcome(1, 0, to, Status::TimedOut), to), "after an outcome that comes late");
     assert!(closes(&node.pass(close - MS), to));
-    let restarted = |condition| ServerLine { condition, ..server(8) };
+    let restarted = |condition| ServerEntry { condition, ..server(8) };
     assert!(closes(&node.list(ListKind::Cached, vec![restarted(Condition::Draining)]), 8), "in an old list");
     let mut other = Node::new(settings(), 3);
     let notice =
-        other.list(ListKind::Delta, vec![ServerLine { condition: Condition::Draining, ..server(2) }]);
+        other.list(ListKind::Delta, vec![ServerEntry { condition: Condition::Draining, ..server(2) }]);
     assert!(!closes(&notice, 2), "only where a rule asks for it");
 }
 
 #[test]
 fn a_subscription_that_is_neither_answered_nor_refused_is_asked_for_again() {
-    let config = Settings { ask_discovery: true, ask_within: 6 * SECOND, ..settings() };
+    let config = Settings { pull_discovery: true, change_notice_limit: 6 * SECOND, ..settings() };
     let asks = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Subscribe(true)).count();
     let mut node = Node::just_started(config, 3);
     assert_eq!(asks(&node.actions), 1);
@@ -759,7 +762,7 @@
     let share = |busy: f32| {
         let mut node =
             Node::new(Settings { load_fields: vec![LoadField::Other, LoadField::Busy], ..settings() }, 0);
-        let kinds = (1..=8).map(|id| ServerLine { kind: 2 + (id % 2) as u16, ..server(id) });
+        let kinds = (1..=8).map(|id| ServerEntry { kind: 2 + (id % 2) as u16, ..server(id) });
         node.list(ListKind::Full, kinds.chain([origin()]).collect());
         let mut odd = 0;
         for id in 1..=1500u64 {
@@ -767,8 +770,17 @@
             let server = sent_to(&node.request(read(id, id))).unwrap();
             odd += usize::from(server % 2 == 1 && id > 1000);
             let load = Load { count: 2, values: [9.0, if server % 2 == 1 { busy } else { 0.3 }, 0.0, 0.0] };
-            let (status, note) = (Status::Served, Note::None);
-            let o = Outcome { request: id, attempt: 0, server, status, over: true, note, took: MS, load };
+            let (status, note) = (Status::Served, CacheLookup::None);
+            let o = Outcome {
+                request: id,
+                attempt: 0,
+                server,
+                status,
+                request_finished: true,
+                lookup: note,
+                elapsed: MS,
+                load,
+            };
             node.event(Event::Outcome(o));
         }
         odd
@@ -821,7 +833,7 @@
 fn where_plain_work_takes_much_of_the_aim_it_is_no_sign_of_overload_and_is_not_called_off() {
     // Another customer: work of 50 to 130 ms for an aim of 200. Slow was what takes 80; the balancers held their
     // tenants to quotas all day, called off half of the attempts, and refused what they had called off.
-    let class = Class { aim: 200 * MS, deadline: 800 * MS, ..Class::default() };
+    let class = Class { target_latency: 200 * MS, deadline: 800 * MS, ..Class::default() };
     let tenants = vec![Tenant { quota_per_s: 40.0 }];
     let config =
         Settings { classes: vec![class], tenants, may_cancel: true, may_duplicate: false, ..settings() };
@@ -879,10 +891,10 @@
     let start = || Node::new(Settings { tenants: vec![Tenant { quota_per_s: 1e3 }], ..settings() }, 3);
     let mut out = 0;
     for mut half in [start(), start()] {
-        half.event(Event::Part(0.5));
+        half.event(Event::ProcessShare(0.5));
         out += (1..=20).map(|id| sends(&half.request(write(id, 1)))).sum::<usize>();
         let before = sends(&half.pass(0));
-        half.event(Event::Part(1.0));
+        half.event(Event::ProcessShare(1.0));
         // The other one has ended: what was postponed goes out within the whole cap.
         let after: usize = (0..20).map(|_| sends(&half.pass(8 * MS))).sum();
         assert_eq!((before, after), (0, 5));
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -57,7 +57,7 @@
         )| {
             let group = [Group::All, Group::Zone, Group::Cell][usize::from(group)];
             let class = |effect| Class {
-                aim: 200_000,
+                target_latency: 200_000,
                 deadline: 900_000,
                 effect,
                 only_zones: (bound == 1).then(|| vec![1]),
@@ -72,15 +72,15 @@
                     class(Effect::Unsafe),
                 ],
                 tenants: vec![Tenant { quota_per_s: 5.0 }; tenants],
-                ask_discovery: ask,
-                ask_within: 1_000_000,
+                pull_discovery: ask,
+                change_notice_limit: 1_000_000,
                 origin_kind: aside.then_some(ORIGIN_KIND),
                 weights_are_sizes: sizes,
                 max_attempts,
                 may_duplicate: duplicate,
                 may_cancel: cancel,
                 drain_close: close.then_some(400_000),
-                may_tell_peers: peers,
+                may_message_peers: peers,
                 cold_share,
                 warm_up: 2_000_000,
                 ..Settings::default()
@@ -109,7 +109,7 @@
     policy: Policy,
     now: u64,
     next: RequestId,
-    lines: BTreeMap<ServerId, ServerLine>,
+    lines: BTreeMap<ServerId, ServerEntry>,
     owed: BTreeMap<RequestId, Owed>,
     /// Attempts out: request, number, server.
     out: Vec<(RequestId, u16, ServerId)>,
@@ -124,13 +124,13 @@
 impl World {
     fn new(settings: Settings) -> Self {
         let policy = Policy::new(settings.clone(), 3);
-        let line = |id: ServerId| ServerLine {
+        let line = |id: ServerId| ServerEntry {
             id,
             zone: (id % 2) as u8,
             cell: (id % 3) as u16,
             kind: if id >= 6 { ORIGIN_KIND } else { 0 },
             weight: id as f32,
-            ..ServerLine::default()
+            ..ServerEntry::default()
         };
         let mut world = World {
             settings,
@@ -158,8 +158,8 @@
         self.note_drains(&event);
         if let Event::ServerList { kind, .. } = &event {
             let unsubscribed =
-                matches!(kind, ListKind::Cached | ListKind::Failed) && self.settings.ask_discovery;
-            self.ask_by = unsubscribed.then_some(self.now + self.settings.ask_within);
+                matches!(kind, ListKind::Cached | ListKind::Failed) && self.settings.pull_discovery;
+            self.ask_by = unsubscribed.then_some(self.now + self.settings.change_notice_limit);
         }
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
@@ -234,14 +234,16 @@
                 self.owed.remove(request).expect("a second final answer");
             }
             Action::Timer { after, .. } => self.timers.push(self.now + (*after).max(1)),
-            Action::Tell { bytes, .. } => assert!(self.settings.may_tell_peers && bytes.len() <= 256),
+            Action::SendToPeer { bytes, .. } => {
+                assert!(self.settings.may_message_peers && bytes.len() <= 256)
+            }
             Action::Cancel { request, attempt } => {
                 assert!(self.settings.may_cancel, "a cancel where none is allowed");
                 let known = self.out.iter().any(|(r, a, _)| r == request && a == attempt);
                 assert!(known, "a cancel of an attempt that is not out");
             }
             Action::CloseIdle(server) => drop(self.to_close.remove(server)),
-            Action::Subscribe(true) => self.ask_by = Some(self.now + self.settings.ask_within),
+            Action::Subscribe(true) => self.ask_by = Some(self.now + self.settings.change_notice_limit),
             Action::Probe(_) => panic!("not allowed here"),
             _ => {}
         }
@@ -304,22 +306,22 @@
                     self.owed.remove(&request);
                 }
                 let over = !self.owed.contains_key(&request);
-                let (note, load) = (Note::None, Load::default());
+                let (note, load) = (CacheLookup::None, Load::default());
                 self.event(Event::Outcome(Outcome {
                     request,
                     attempt,
                     server,
                     status,
-                    over,
-                    note,
-                    took: 1,
+                    request_finished: over,
+                    lookup: note,
+                    elapsed: 1,
                     load,
                 }));
             }
             Step::Begin { which } if !self.out.is_empty() => {
                 let (request, attempt, _) = self.out[which % self.out.len()];
                 self.owed.remove(&request);
-                self.event(Event::AnswerBegan { request, attempt });
+                self.event(Event::AnswerStarted { request, attempt });
             }
             Step::Leave { which } if !self.owed.is_empty() => {
                 let id = *self.owed.keys().nth(which % self.owed.len()).unwrap();
@@ -390,7 +392,7 @@
         let (multiple, span, warm_up) = (settings.fall_multiple, settings.fall_after, settings.warm_up);
         let mut policy = Policy::new(settings, seed);
         let (mut now, mut out, mut sends) = (60_000_000, Vec::new(), Vec::new());
-        let line = |id, started| ServerLine { id, started, ..ServerLine::default() };
+        let line = |id, started| ServerEntry { id, started, ..ServerEntry::default() };
         let all = (0..servers).map(|id| line(id, 0)).collect();
         policy.handle(now, Event::ServerList { kind: ListKind::Cached, servers: all }, &mut out);
         let started = now + 10_000_000;
@@ -411,8 +413,17 @@
             let Some(server) = to else { continue };
             sends.extend((server == 1 && now >= started).then_some(now));
             let (status, over) = (Status::Served, true);
-            let (note, load) = (Note::None, Load::default());
-            let o = Outcome { request: id, attempt: 0, server, status, over, note, took: 1_000, load };
+            let (note, load) = (CacheLookup::None, Load::default());
+            let o = Outcome {
+                request: id,
+                attempt: 0,
+                server,
+                status,
+                request_finished: over,
+                lookup: note,
+                elapsed: 1_000,
+                load,
+            };
             policy.handle(now, Event::Outcome(o), &mut out);
         }
         let warm = span as f64 / (gap_ms as f64 * 1e3) / f64::from(servers);
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -22,7 +22,7 @@
 
 impl Fleet {
     fn new(count: u32, shares: Shares, takes: Micros) -> Fleet {
-        let settings = |me| Settings { balancers: count, me, shares: Some(shares), ..settings() };
+        let settings = |me| Settings { balancers: count, own_index: me, shares: Some(shares), ..settings() };
         let nodes = (0..count).map(|me| Node::just_started(settings(me), 3)).collect();
         let calls = vec![0; count as usize];
         Fleet { nodes, takes, out: BTreeMap::new(), next: 1, most: 0, calls, refused: 0 }
@@ -56,9 +56,9 @@
                 attempt,
                 server: ORIGIN,
                 status: Status::Served,
-                over: true,
-                note: Note::None,
-                took: self.takes,
+                request_finished: true,
+                lookup: CacheLookup::None,
+                elapsed: self.takes,
                 load: Load::default(),
             };
             let actions = self.nodes[node].event(Event::Outcome(outcome));
@@ -174,7 +174,7 @@
     }
     assert_eq!(seen.into_iter().collect::<Vec<_>>(), [2, 3]);
     // Both drain: it is fetched from nowhere else, and answered all the same.
-    let draining = |id| ServerLine { condition: Condition::Draining, ..server(id) };
+    let draining = |id| ServerEntry { condition: Condition::Draining, ..server(id) };
     node.list(ListKind::Delta, vec![draining(2), draining(3)]);
     let actions = node.request(read(200, 7));
     assert_eq!(sends(&actions), 0);
@@ -186,7 +186,7 @@
     let mut sent = 0;
     let shares = Some(Shares { origin_out: 80.0, origin_per_s: 400.0 });
     for me in 0..200 {
-        let mut node = Node::new(Settings { balancers: 200, me, shares, ..settings() }, 2);
+        let mut node = Node::new(Settings { balancers: 200, own_index: me, shares, ..settings() }, 2);
         for id in 1..=5 {
             let to = sent_to(&node.request(read(id, id))).unwrap();
             node.outcome(id, 0, to, Status::Served);
@@ -195,7 +195,7 @@
         let started = node.now;
         node.event(Event::ServerList {
             kind: ListKind::Delta,
-            servers: vec![ServerLine { started, ..server(2) }],
+            servers: vec![ServerEntry { started, ..server(2) }],
         });
         // One key that everybody asks for, of those that the cold server keeps.
         for id in 200..=203 {
