--- a/crates/mothpier-sim/src/cold_ramp/judge.rs
+++ b/crates/mothpier-sim/src/cold_ramp/judge.rs
@@ -53,9 +53,9 @@
 pub fn windows(scenario: &Scenario, attempts: &[Attempt]) -> Vec<Window> {
     let settings = &scenario.settings;
     let capacity = scenario.machines[scenario.cold as usize].capacity;
-    let whole = settings.fall_multiple * capacity * settings.fall_after as f64 / 1e6;
+    let whole = settings.crash_load_multiple * capacity * settings.crash_after as f64 / 1e6;
     let window = |(first, begin): (usize, &Attempt)| {
-        let until = begin.at + settings.fall_after;
+        let until = begin.at + settings.crash_after;
         let inside: Vec<_> = attempts[first..].iter().take_while(|a| a.at < until).collect();
         Window {
             from: begin.at,
--- a/crates/mothpier-sim/src/cold_ramp/tests.rs
+++ b/crates/mothpier-sim/src/cold_ramp/tests.rs
@@ -26,7 +26,7 @@
 #[test]
 fn attempts_a_window_apart_are_not_summed() {
     let scenario = Scenario::drawn(1, None);
-    let apart = scenario.settings.fall_after;
+    let apart = scenario.settings.crash_after;
     let attempt = |i: u64| Attempt { at: scenario.starts_at + i * apart, told: true };
     let attempts: Vec<_> = (0..4).map(attempt).collect();
     assert!(windows(&scenario, &attempts).iter().all(|w| w.sent == 1));
--- a/src/bin/brassrouter-drill/codec/tests.rs
+++ b/src/bin/brassrouter-drill/codec/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn every_action_has_its_code_and_its_fields_in_their_places() {
+fn each_action_is_encoded_with_its_code_and_fields() {
     let (id, server, tail) = (0x0002_dd71_5d3a_91c4u64, 0x0312_4a07u32, vec![0, 0, 0, 0, 2, 0, 0, 0]);
     let (i, s) = (id.to_le_bytes(), server.to_le_bytes());
     let cases = [
@@ -52,16 +52,16 @@
 }
 
 #[test]
-fn a_request_and_an_outcome_are_read_from_their_places() {
+fn a_request_and_an_outcome_are_decoded() {
     let mut body = vec![0u8; 2 * EVENT_SIZE];
     body[0] = 4;
     body[3] = 9; // id
     body[11] = 1; // tenant
-    body[13] = 7; // cost hint valid, a repeat, a write
+    body[13] = 7; // flags: cost is valid, a repeat, a write
     body[14] = 2; // class
     body[15] = 50; // cost
     body[19] = 5; // key
-    body[32] = 1; // time budget 256
+    body[32] = 1; // time left: 256 µs
     let r = EVENT_SIZE;
     (body[r], body[r + 3], body[r + 11], body[r + 15], body[r + 19]) = (3, 9, 3, 40, 1);
     body[r + 21] = 1;
--- a/src/bin/brassrouter-drill/main.rs
+++ b/src/bin/brassrouter-drill/main.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the decision module on the simulator's wire. It translates and decides nothing.
+//! Runs instances of the decision module behind the simulator's wire protocol. It only translates and decides
+//! nothing.
 
 mod codec;
 
@@ -9,10 +10,10 @@
 use brassrouter::{Action, Event, ListKind, Micros, Policy, ServerEntry, settings};
 use codec::{BATCH_HEADER, BatchHeader, Record, Reply};
 
-/// Numbered lists run from 0 to this, exclusive.
-const LISTS: usize = 16;
+/// Number of server lists that can be stored; they are numbered from 0.
+const LIST_COUNT: usize = 16;
 
-/// One module that runs under an instance number.
+/// A decision module that runs under an instance number, and the sizes that its requests are checked against.
 struct Instance {
     policy: Policy,
     classes: usize,
@@ -22,22 +23,22 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<u16, Instance>,
-    lists: [Option<Vec<ServerEntry>>; LISTS],
+    lists: [Option<Vec<ServerEntry>>; LIST_COUNT],
     actions: Vec<Action>,
     reply: Reply,
 }
 
 impl Host {
-    fn batch(&mut self, header: BatchHeader, body: &[u8]) -> Result<(), String> {
+    fn handle_batch(&mut self, header: BatchHeader, body: &[u8]) -> Result<(), String> {
         for index in 0..header.records {
             let record = codec::read_record(body, header.records, index)
                 .map_err(|e| format!("batch {}, record {index}: {e}", header.number))?;
-            self.record(header.now, record).map_err(|e| format!("batch {}: {e}", header.number))?;
+            self.handle_record(header.now, record).map_err(|e| format!("batch {}: {e}", header.number))?;
         }
         Ok(())
     }
 
-    fn record(&mut self, now: Micros, record: Record<'_>) -> Result<(), String> {
+    fn handle_record(&mut self, now: Micros, record: Record<'_>) -> Result<(), String> {
         match record {
             Record::Start { node, seed, settings } => {
                 let settings = settings::read(settings)?.policy;
@@ -50,12 +51,13 @@
                 Some(_) => Ok(()),
                 None => Err(format!("shutdown of unknown instance {node}")),
             },
-            Record::List { number, lines } => {
-                let slot = self.lists.get_mut(usize::from(number));
-                *slot.ok_or_else(|| format!("census with list number {number} out of range"))? = Some(lines);
+            Record::List { number, entries } => {
+                let stored = self.lists.get_mut(usize::from(number));
+                *stored.ok_or_else(|| format!("census with list number {number} out of range"))? =
+                    Some(entries);
                 Ok(())
             }
-            Record::ListHeard { node, kind, number } => {
+            Record::ListReceived { node, kind, number } => {
                 let servers = match kind {
                     ListKind::Failed => Vec::new(),
                     _ => {
@@ -63,21 +65,21 @@
                         list.ok_or_else(|| format!("roster_change names unknown list {number}"))?.clone()
                     }
                 };
-                self.event(now, node, Event::ServerList { kind, servers })
+                self.handle_event(now, node, Event::ServerList { kind, servers })
             }
-            Record::Event(node, event) => self.event(now, node, event),
+            Record::Event(node, event) => self.handle_event(now, node, event),
         }
     }
 
-    fn event(&mut self, now: Micros, node: u16, event: Event) -> Result<(), String> {
+    fn handle_event(&mut self, now: Micros, node: u16, event: Event) -> Result<(), String> {
         let instance = self.instances.get_mut(&node);
         let instance = instance.ok_or_else(|| format!("event for unknown instance {node}"))?;
-        if let Event::Request(r) = &event {
-            if r.class >= instance.classes {
-                return Err(format!("request of class {} that the settings do not have", r.class));
+        if let Event::Request(request) = &event {
+            if request.class >= instance.classes {
+                return Err(format!("request of class {} that the settings do not have", request.class));
             }
-            if r.tenant >= instance.tenants.max(1) {
-                return Err(format!("request of tenant {} that the settings do not have", r.tenant));
+            if request.tenant >= instance.tenants.max(1) {
+                return Err(format!("request of tenant {} that the settings do not have", request.tenant));
             }
         }
         instance.policy.handle(now, event, &mut self.actions);
@@ -88,14 +90,14 @@
     }
 }
 
-/// Fills `buffer`; `false` where the input ended before its first byte.
+/// Fills `buffer`; returns `false` if the input ended before its first byte.
 fn fill(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, String> {
-    let mut have = 0;
-    while have < buffer.len() {
-        match input.read(&mut buffer[have..]) {
-            Ok(0) if have == 0 => return Ok(false),
+    let mut filled = 0;
+    while filled < buffer.len() {
+        match input.read(&mut buffer[filled..]) {
+            Ok(0) if filled == 0 => return Ok(false),
             Ok(0) => return Err("truncated frame: input ended within it".into()),
-            Ok(n) => have += n,
+            Ok(n) => filled += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(format!("reading the input failed: {e}")),
         }
@@ -109,14 +111,14 @@
     let (mut body, mut frame) = (Vec::new(), Vec::new());
     while fill(input, &mut header_bytes)? {
         let header = BatchHeader::read(&header_bytes)?;
-        // Read through `take`, so that a false length does not reserve memory that never fills.
+        // Reads through `take`, so that a wrong length does not allocate memory that is never filled.
         body.clear();
-        let got = input.by_ref().take(header.length as u64).read_to_end(&mut body);
-        let got = got.map_err(|e| format!("reading the input failed: {e}"))?;
-        if got < header.length {
-            return Err(format!("truncated frame: batch {} ended after {got} bytes", header.number));
+        let received = input.by_ref().take(header.length as u64).read_to_end(&mut body);
+        let received = received.map_err(|e| format!("reading the input failed: {e}"))?;
+        if received < header.length {
+            return Err(format!("truncated frame: batch {} ended after {received} bytes", header.number));
         }
-        host.batch(header, &body)?;
+        host.handle_batch(header, &body)?;
         host.reply.finish(header.number, &mut frame);
         output.write_all(&frame).and_then(|()| output.flush()).map_err(|e| format!("writing failed: {e}"))?;
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,74 +1,78 @@
-//! The types through which a node and the decision module speak: settings, events, actions.
+//! The interface between a node and the decision module: settings, events and actions.
 //!
-//! Times are microseconds of the node's own clock, which may start anywhere and only advances.
+//! Times are microseconds of the node's own clock, which starts at an arbitrary value and never goes back.
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
-/// Names one client request at this balancer; never used twice.
+/// Identifies a client request at this balancer; never reused.
 pub type RequestId = u64;
-/// Names a server (or the origin); stays the same over restarts of its process.
+/// Identifies a server (or the origin); unchanged when its process restarts.
 pub type ServerId = u32;
-/// The subject of a request; 0 means that it names none.
+/// The key of a request; 0 if it has none.
 pub type Key = u64;
 
-/// What a node is told once, at its start.
+/// What a node tells the module once, at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// How many balancers share the fleet.
+    /// Number of balancers that share the fleet.
     pub balancers: u32,
-    /// The number of this balancer among them, from 0.
+    /// Index of this balancer among them, from 0.
     pub own_index: u32,
     /// The classes of requests.
     pub classes: Vec<Class>,
-    /// The tenants; empty where a deployment has none.
+    /// The tenants; empty in a deployment without tenants.
     pub tenants: Vec<Tenant>,
-    /// Whether the server list must be asked for (subscription or whole list) or comes by itself.
+    /// Whether the server list has to be requested (by subscription or as a whole); otherwise discovery
+    /// pushes it.
     pub pull_discovery: bool,
-    /// Without a subscription, the balancer counts as told of changes this long after they happened.
+    /// Time after which a balancer without a subscription is taken to know of a change.
     pub change_notice_limit: Micros,
-    /// Machine kind of the origin in the server list; `None` where servers fetch for themselves.
+    /// Machine kind of the origin in the server list; `None` if servers fetch missing values themselves.
     pub origin_kind: Option<u16>,
-    /// Whether weights in the list tell the size of a server.
-    pub weights_are_sizes: bool,
-    /// The figures that load reports carry, in their order.
+    /// Whether the weights in the server list state the servers' capacities.
+    pub weights_are_capacities: bool,
+    /// The values in a load report, in their order.
     pub load_fields: Vec<LoadField>,
-    /// Attempts that one request may make.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Whether two attempts of one request may be out at once.
+    /// Whether two attempts of one request may be outstanding at once.
     pub may_duplicate: bool,
     /// Whether an attempt may be cancelled.
     pub may_cancel: bool,
     /// Whether balancers may send each other messages.
     pub may_message_peers: bool,
-    /// A connection that is not made within this time fails.
+    /// Time after which an unfinished connection attempt fails.
     pub connect_timeout: Micros,
-    /// Shortest time between two calls of the module.
+    /// Minimum time between two calls of the module.
     pub tick: Micros,
-    /// A server starts with at least this part of its capacity.
+    /// Share of its capacity that a server has at least when it starts.
     pub cold_share: f64,
-    /// A started server is warm after this time at the latest.
+    /// Time after its start by which a server is warm.
     pub warm_up: Micros,
-    /// A cold server falls over when sent more than this multiple of what it can do ...
-    pub fall_multiple: f64,
+    /// A cold server crashes when it is sent more than this multiple of its present capacity ...
+    pub crash_load_multiple: f64,
     /// ... for this long.
-    pub fall_after: Micros,
-    /// Idle connections to a draining server must be closed within this time; `None` where no rule says so.
-    pub drain_close: Option<Micros>,
-    /// What the origin takes from all balancers together, where that is stated; else each has parts of its own.
+    pub crash_after: Micros,
+    /// Time within which idle connections to a draining server must be closed; `None` if there is no such
+    /// rule.
+    pub drain_close_limit: Option<Micros>,
+    /// What the origin accepts from all balancers together, if that is stated; otherwise each balancer limits
+    /// itself.
     pub shares: Option<Shares>,
-    /// A cold server gets this multiple of a warm one's attempts, times its present part of capacity.
+    /// Rate of attempts at a cold server, as a multiple of a warm server's rate times the share of its
+    /// capacity that the cold server has so far.
     pub cold_rate: f64,
-    /// What each request adds to the budget of retries; 0 leaves none but of what never ran.
+    /// What each request adds to the retry budget; with 0, only attempts that never ran are retried.
     pub retry_budget: f64,
 }
 
-/// What the origin takes from all balancers together. One balancer's part may be less than a call: it is taken in turns,
-/// which the balancers' numbers and the clock that all share tell.
+/// What the origin accepts from all balancers together. One balancer's share may be less than one call;
+/// balancers then take turns, which follow from their indexes and the shared clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Shares {
-    /// Calls out at once.
+    /// Maximum number of outstanding calls.
     pub origin_out: f64,
-    /// Calls a second; infinite where nothing is stated.
+    /// Maximum calls per second; infinite if no rate is stated.
     pub origin_per_s: f64,
 }
 
@@ -82,7 +86,7 @@
             pull_discovery: false,
             change_notice_limit: 10_000_000,
             origin_kind: None,
-            weights_are_sizes: false,
+            weights_are_capacities: false,
             load_fields: Vec::new(),
             max_attempts: 3,
             may_duplicate: true,
@@ -92,9 +96,9 @@
             tick: 1_000,
             cold_share: 0.25,
             warm_up: 10_000_000,
-            fall_multiple: 3.0,
-            fall_after: 2_000_000,
-            drain_close: None,
+            crash_load_multiple: 3.0,
+            crash_after: 2_000_000,
+            drain_close_limit: None,
             shares: None,
             cold_rate: 1.5,
             retry_budget: 0.2,
@@ -107,19 +111,19 @@
 pub struct Class {
     /// An answer within this time earns the full worth.
     pub target_latency: Micros,
-    /// A client waits this long in all.
+    /// Time after which the client gives up.
     pub deadline: Micros,
     /// Worth of one request.
     pub worth: f64,
-    /// Part of the worth that an answer after the aim still earns.
+    /// Share of the worth that an answer after the target latency still earns.
     pub late_worth: f64,
-    /// What a repeat of such a request does.
+    /// Effect of repeating a request of this class.
     pub effect: Effect,
-    /// The only zones whose cache servers it may be sent to; `None` for all.
+    /// The zones whose cache servers it may be sent to; `None` for all.
     pub only_zones: Option<Vec<u8>>,
-    /// The only machine kinds that it may be sent to, besides the origin; `None` for all.
+    /// The machine kinds that it may be sent to, besides the origin; `None` for all.
     pub only_kinds: Option<Vec<u16>>,
-    /// The only servers that it may be sent to, besides the origin; `None` for all.
+    /// The servers that it may be sent to, besides the origin; `None` for all.
     pub only_servers: Option<Vec<ServerId>>,
 }
 
@@ -138,84 +142,85 @@
     }
 }
 
-/// What a repeat of a request does.
+/// Effect of repeating a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
-    /// Nothing: it may be sent as often as wanted.
+    /// None: it may be sent any number of times.
     Safe,
-    /// Servers of one group drop a repeat for a while after the first attempt.
+    /// The servers of one scope drop repeats for a time after the first attempt.
     Keyed {
         /// Which servers drop a repeat.
-        group: Group,
-        /// For how long, from the sending of the earliest attempt that may have run.
+        scope: DedupScope,
+        /// How long they drop it, counted from when the earliest attempt that may have run was sent.
         window: Micros,
     },
     /// The effect happens again.
     Unsafe,
 }
 
-/// A group of cache servers that knows which keyed requests its members have seen.
+/// The cache servers that share a record of the keyed requests they have seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
-    /// Every cache server.
+pub enum DedupScope {
+    /// All cache servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, over all balancers together.
+    /// Requests per second within the quota, over all balancers together.
     pub quota_per_s: f64,
 }
 
-/// A figure of a load report.
+/// The meaning of a value in a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadField {
     /// Requests in progress.
     InFlight,
-    /// Requests that wait.
+    /// Requests waiting.
     Queued,
     /// Share of CPU in use.
     Busy,
-    /// Recent service time, milliseconds.
+    /// Recent service time, in milliseconds.
     ServiceMs,
-    /// Requests served a second.
+    /// Requests served per second.
     Rate,
-    /// Errors a second.
+    /// Errors per second.
     ErrorRate,
-    /// A figure that this module gives no meaning.
+    /// A value that this module does not use.
     Other,
 }
 
-/// A load report: figures in the order of [`Settings::load_fields`].
+/// A load report: values in the order of [`Settings::load_fields`].
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Load {
-    /// How many of `values` are there.
+    /// Number of elements of `values` in use.
     pub count: u8,
-    /// The figures.
+    /// The values.
     pub values: [f32; 4],
 }
 
 impl Load {
-    /// A figure of the report, where the site's reports carry it and this one does.
-    pub fn figure(&self, fields: &[LoadField], wanted: LoadField) -> Option<f64> {
-        let at = fields.iter().position(|f| *f == wanted).filter(|at| *at < usize::from(self.count))?;
-        self.values.get(at).map(|v| f64::from(*v)).filter(|v| v.is_finite())
+    /// Returns the value of the `wanted` field, if the site's reports have it and this report includes it.
+    pub fn value(&self, fields: &[LoadField], wanted: LoadField) -> Option<f64> {
+        let index =
+            fields.iter().position(|f| *f == wanted).filter(|index| *index < usize::from(self.count))?;
+        self.values.get(index).map(|v| f64::from(*v)).filter(|v| v.is_finite())
     }
 }
 
-/// One line of the server list.
+/// An entry of the server list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerEntry {
     /// The server.
     pub id: ServerId,
     /// Its zone.
     pub zone: u8,
-    /// Its cell, a small group that shares which keyed requests it has seen.
+    /// Its cell, a small group of servers that share a record of keyed requests.
     pub cell: u16,
     /// Its machine kind.
     pub kind: u16,
@@ -223,7 +228,7 @@
     pub weight: f32,
     /// When its process last started; 0 for long ago.
     pub started: Micros,
-    /// Whether it runs, drains or is gone.
+    /// Whether it is ready, draining or gone.
     pub condition: Condition,
 }
 
@@ -233,38 +238,38 @@
     }
 }
 
-/// What the list says of a server.
+/// Condition of a server as the list states it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// It runs.
+    /// It serves requests.
     Ready,
-    /// It ends what it has; nothing new may be sent to it.
+    /// It finishes its outstanding requests; nothing new may be sent to it.
     Draining,
     /// It is gone.
     Gone,
 }
 
-/// Slots next to each other that the same servers of a cluster hold.
+/// Consecutive slots that are held by the same servers of a cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotRange {
     /// The first slot.
     pub first: u16,
     /// The last slot, below 16,384.
     pub last: u16,
-    /// Its owner, then those that hold copies and may be read.
+    /// The owner, then the replicas that may be read from.
     pub servers: Vec<ServerId>,
 }
 
-/// How a server list relates to the one held.
+/// How a server list relates to the current one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// The whole list; a server not in it is gone.
+    /// The complete list; a server that it lacks is gone.
     Full,
-    /// The list last held before a restart, whole but perhaps old.
+    /// The list saved before a restart: complete, but perhaps outdated.
     Cached,
-    /// Only lines that changed.
+    /// Changed entries only.
     Delta,
-    /// A call to discovery failed or the subscription broke; the list held stays in force.
+    /// A call to discovery failed or the subscription was lost; the current list stays in effect.
     Failed,
 }
 
@@ -273,58 +278,59 @@
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// Position of its class in [`Settings::classes`].
+    /// Index of its class in [`Settings::classes`].
     pub class: usize,
-    /// Position of its tenant in [`Settings::tenants`]; 0 where there are none.
+    /// Index of its tenant in [`Settings::tenants`]; 0 if there are none.
     pub tenant: usize,
-    /// Its key, 0 for none.
+    /// Its key; 0 for none.
     pub key: Key,
-    /// Whether it writes (and so goes to the origin).
+    /// Whether it is a write (and goes to the origin).
     pub write: bool,
-    /// Whether the client said that it repeats an earlier try.
+    /// Whether the client marked it as a repeat of an earlier request.
     pub repeat: bool,
-    /// Time until the client gives this try up.
+    /// Time until the client gives up on this request.
     pub time_left: Micros,
-    /// Expected work, where told.
+    /// Expected work, if known.
     pub cost: Option<Micros>,
-    /// Size of the value in bytes, 0 where not told.
+    /// Size of the value in bytes; 0 if unknown.
     pub size: f32,
-    /// The slot of its key, where the cache servers form a cluster.
+    /// The slot of its key, if the cache servers form a cluster.
     pub slot: Option<u16>,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// The server answered the request.
     Served,
-    /// The server holds nothing for this key; it did not run.
+    /// The server has no value for this key; the request did not run.
     Miss,
-    /// The server reported an error; it may have run.
+    /// The server reported an error; the request may have run.
     Error,
-    /// Turned away unseen; it did not run.
+    /// Rejected before it was processed; it did not run.
     Full,
-    /// No answer in time; it may have run or still run.
+    /// Not answered in time; it may have run or may still be running.
     TimedOut,
-    /// No connection came about; it did not run.
+    /// No connection was made; it did not run.
     ConnectFailed,
     /// The connection was lost; it may have run.
     Reset,
     /// Cancelled by this balancer; it may have run.
     Cancelled,
-    /// Never sent: the request had ended or had no attempts left; it did not run.
+    /// Never sent, because the request had ended or had no attempts left; it did not run.
     NotSent,
-    /// The server names another for the key's slot; it did not run.
+    /// The server named another one for the key's slot; it did not run.
     Redirected {
-        /// The server named; `None` where the list has none at that address.
+        /// The server named; `None` if the list has none at that address.
         to: Option<ServerId>,
-        /// Only this one time, and only when it is asked in the name of the move: the slot is on its way.
+        /// Whether the redirection holds for this attempt alone, which must announce itself with `ASKING`:
+        /// the slot is being migrated.
         ask: bool,
     },
 }
 
 impl Status {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this status proves that the attempt did not run.
     pub fn proves_not_run(self) -> bool {
         matches!(
             self,
@@ -333,98 +339,99 @@
     }
 }
 
-/// What a server said of the key in its answer.
+/// What a server's answer says about the key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum CacheLookup {
     /// Nothing.
     #[default]
     None,
-    /// The value was held.
+    /// The value was cached.
     Hit,
-    /// It was not.
+    /// The value was not cached.
     Miss,
-    /// It was not, and another request has been told to fetch it.
+    /// The value was not cached, and another request is fetching it.
     MissFetchPending,
 }
 
-/// The end of one attempt.
+/// The end of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
     /// Its request.
     pub request: RequestId,
-    /// Number of the attempt within its request, from 0, in the order of sending.
+    /// Index of the attempt within its request, from 0, in the order of sending.
     pub attempt: u16,
-    /// Where it had been sent.
+    /// The server it was sent to.
     pub server: ServerId,
     /// How it ended.
     pub status: Status,
-    /// Whether the request has its final answer (by this outcome or before).
+    /// Whether the request has its final answer, by this outcome or an earlier one.
     pub request_finished: bool,
-    /// What the server said of the key.
+    /// What the server's answer says about the key.
     pub lookup: CacheLookup,
-    /// Time from sending to this end.
+    /// Time from sending until this outcome.
     pub elapsed: Micros,
-    /// Load report of the server, if one came along.
+    /// The server's load report, if the answer carried one.
     pub load: Load,
 }
 
-/// Something that happened at this balancer.
+/// An event at this balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The server list, or a change of it.
     ServerList {
-        /// How it relates to the list held.
+        /// How it relates to the current list.
         kind: ListKind,
-        /// Its lines.
+        /// Its entries.
         servers: Vec<ServerEntry>,
     },
-    /// This process is such a part of the balancer from now on: while another one takes its place, both serve.
+    /// Share of the balancer that this process has from now on: during a hand-over, two processes serve.
     ProcessShare(f64),
-    /// The process ends: every final answer is due by then.
+    /// The process ends: every final answer is due by this time.
     AnswerDeadline(Micros),
-    /// Which servers hold which slots, where the cache servers form a cluster.
+    /// Which servers hold which slots, if the cache servers form a cluster.
     SlotMap {
-        /// Whether slots that it does not name are nobody's; they stay as they were otherwise.
+        /// Whether the map is complete, so that slots it does not name have no holder; otherwise they are
+        /// unchanged.
         whole: bool,
-        /// Ranges in order, none over another.
+        /// Ranges in ascending order, without overlap.
         ranges: Vec<SlotRange>,
     },
-    /// A client's request arrived; one final answer is owed from now on.
+    /// A client's request arrived; it is due one final answer.
     Request(Request),
     /// An attempt ended.
     Outcome(Outcome),
-    /// A streamed answer began; the attempt belongs to the client now.
+    /// A streamed answer started; the node finishes it.
     AnswerStarted {
         /// Its request.
         request: RequestId,
-        /// The attempt that began to answer.
+        /// The attempt that is being answered.
         attempt: u16,
     },
-    /// The client left, or the request ended otherwise; nothing is owed any more.
+    /// The client left, or the request ended otherwise; no final answer is due any more.
     ClientGone(RequestId),
-    /// A timer set by [`Action::Timer`] is due.
+    /// A timer set by [`Action::Timer`] fired.
     Timer(u32),
-    /// The end of a probe.
+    /// A probe ended.
     ProbeFinished {
         /// The server probed.
         server: ServerId,
-        /// Whether it answered well.
+        /// Whether its answer was good.
         ok: bool,
-        /// Time from sending to this end.
+        /// Time from sending until this outcome.
         took: Micros,
-        /// Load report of the server, if one came along.
+        /// The server's load report, if the answer carried one.
         load: Load,
     },
-    /// A message of another balancer.
+    /// A message from another balancer.
     PeerMessage {
-        /// Number of the sender.
+        /// Index of the sender.
         from: u32,
         /// Its bytes.
         bytes: Vec<u8>,
     },
 }
 
-/// Something that the node is to do, in the order given.
+/// An action for the node to perform, in the order given.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a server.
@@ -433,19 +440,19 @@
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// Give the attempt up after this time; 0 for the client's own limit.
+        /// Time after which to give up the attempt; 0 for the client's own limit.
         timeout: Micros,
-        /// Say in the same breath that it is asked in the name of a slot's move.
+        /// Announce the attempt as part of a slot migration (`ASKING`), in the same write.
         asking: bool,
     },
-    /// Final answer: turned away, a retry is harmless.
+    /// Final answer: refused; a retry is safe.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Ask the client to stay away for this long; 0 for no hint.
+        /// Time for which the client should wait before a retry; 0 for no hint.
         retry_after: Micros,
     },
-    /// Final answer: failed, with no promise.
+    /// Final answer: failed; whether the request ran is unknown.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel {
@@ -454,30 +461,30 @@
         /// The attempt.
         attempt: u16,
     },
-    /// Call back with [`Event::Timer`] after a time.
+    /// Deliver [`Event::Timer`] after a delay.
     Timer {
-        /// The time from now.
+        /// The delay from now.
         after: Micros,
-        /// Given back with the event.
+        /// Returned with the event.
         token: u32,
     },
-    /// Subscribe to (or leave) the changes of the server list.
+    /// Subscribe to changes of the server list, or cancel the subscription.
     Subscribe(bool),
-    /// Ask for the whole server list once.
+    /// Request the complete server list once.
     FetchList,
     /// Probe a server.
     Probe(ServerId),
-    /// Close idle connections to a server.
+    /// Close the idle connections to a server.
     CloseIdle(ServerId),
     /// Send at most 256 bytes to one balancer, or to all.
     SendToPeer {
-        /// Number of the balancer; `None` for every peer.
+        /// Index of the balancer; `None` for all peers.
         to: Option<u32>,
         /// The bytes.
         bytes: Vec<u8>,
     },
     /// A line for the log.
     Log(String),
-    /// The module cannot go on.
+    /// The module cannot continue.
     Fault(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,9 @@
-//! Decisions of a router in front of fleets of cache servers, as a pure and deterministic state machine.
+//! The decision module of a balancer in front of fleets of cache servers, as a pure and deterministic state
+//! machine.
 //!
-//! A [`Policy`] is one balancer's mind. It is told what happens ([`Event`]) and when, and answers with what
-//! to do ([`Action`]). It has no clock, no threads and no I/O: the node that embeds it owns the sockets.
+//! A [`Policy`] holds the state of one balancer. It receives events ([`Event`]) with their times and returns
+//! the actions to take ([`Action`]). It has no clock, no threads and no I/O: the node that embeds it owns the
+//! sockets.
 //!
 //! ```
 //! use brassrouter::{Action, Condition, Event, ListKind, Policy, Request, ServerEntry, Settings};
@@ -10,7 +12,7 @@
 //! let mut policy = Policy::new(settings, 42);
 //! let mut actions = Vec::new();
 //!
-//! // The balancer starts at some clock value (microseconds) with the server list it last held.
+//! // The balancer starts at some clock value (microseconds) with its latest saved server list.
 //! let servers = vec![
 //!     ServerEntry { id: 7, condition: Condition::Ready, ..ServerEntry::default() },
 //!     ServerEntry { id: 9, condition: Condition::Ready, ..ServerEntry::default() },
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,52 +1,54 @@
-//! The settings text, read into the module's own [`Settings`] and into what a node round it needs besides. The
-//! adapter and the node share this reader, so that both decide by the same figures.
+//! Reads the settings text into the module's [`Settings`] and the other values that a node needs. The adapter
+//! and the node share this reader, so that both decide by the same values.
 
-use crate::interface::{Class, Effect, Group, LoadField, Micros, ServerId, Settings, Tenant};
+use crate::interface::{Class, DedupScope, Effect, LoadField, Micros, ServerId, Settings, Tenant};
 use serde::Deserialize;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A deployment's settings: what the module acts on, and the names and limits that only a node on sockets needs.
+/// A deployment's settings: those that the module uses, and the names and limits that only a node with
+/// sockets needs.
 #[derive(Debug, Clone)]
 pub struct Site {
-    /// What the module acts on.
+    /// Settings of the decision module.
     pub policy: Settings,
     /// Names of the classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// Names of the zones; a zone's number is its place.
+    /// Names of the zones; a zone's number is its index.
     pub zones: Vec<String>,
-    /// Names of the machine kinds; a kind's number is its place.
+    /// Names of the machine kinds; a kind's number is its index.
     pub kinds: Vec<String>,
-    /// Names of the figures in load reports, in the order of [`Settings::load_fields`].
+    /// Names of the values in load reports, in the order of [`Settings::load_fields`].
     pub load_fields: Vec<String>,
-    /// Attempts carried together on one connection.
+    /// Maximum number of attempts in flight on one connection.
     pub multiplex: usize,
-    /// A server closes a connection that has been idle for this long.
+    /// Time after which a server closes an idle connection.
     pub idle_close: Micros,
-    /// Requests that a node may have open.
+    /// Maximum number of open requests of a node.
     pub max_open: usize,
-    /// The longest wait that a client honours.
+    /// The longest retry delay that clients honour.
     pub max_retry_after: Micros,
-    /// Within this time of the word that a server drains or is gone the last thing is sent there.
+    /// Time after the notice that a server is draining or gone within which an attempt may still be sent to
+    /// it.
     pub drain_grace: Micros,
 }
 
-/// What is read of the settings. Passed over on purpose: this balancer's zone, whether probes and retry-after are
-/// allowed, prices, the goal, the fall of the origin, ordered
-/// answers, and the grace to answer (answers come before the deadline).
+/// The settings in the text that are used. Deliberately ignored: this balancer's zone, whether probes and
+/// retry delays are allowed, prices, the goal, the crash of the origin, ordered answers, and the grace time
+/// for answers (answers come before the deadline).
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Wire {
+struct WireSettings {
     balancers: u32,
     me: u32,
     classes: Vec<WireClass>,
-    realms: Vec<WireRealm>,
+    realms: Vec<WireTenant>,
     discovery: String,
-    specifics: Specifics,
-    limits: Limits,
-    guarantees: Guarantees,
-    report: Report,
+    specifics: WireMode,
+    limits: WireLimits,
+    guarantees: WireGuarantees,
+    report: WireReport,
     weight_source: String,
     period_us: f64,
     zones: Vec<String>,
@@ -71,21 +73,21 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct WireRealm {
+struct WireTenant {
     name: String,
     quota_per_s: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Specifics {
+struct WireMode {
     mode: String,
     origin_kind: i64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Limits {
+struct WireLimits {
     max_attempts: u32,
     may_duplicate: bool,
     may_cancel: bool,
@@ -99,7 +101,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Guarantees {
+struct WireGuarantees {
     ask_within_us: f64,
     cold_share: f64,
     cold_us: f64,
@@ -111,23 +113,23 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct Report {
+struct WireReport {
     fields: Vec<String>,
 }
 
-impl Default for Wire {
+impl Default for WireSettings {
     fn default() -> Self {
         let base = Settings::default();
-        Wire {
+        WireSettings {
             balancers: base.balancers,
             me: base.own_index,
             classes: Vec::new(),
             realms: Vec::new(),
             discovery: "push".into(),
-            specifics: Specifics::default(),
-            limits: Limits::default(),
-            guarantees: Guarantees::default(),
-            report: Report::default(),
+            specifics: WireMode::default(),
+            limits: WireLimits::default(),
+            guarantees: WireGuarantees::default(),
+            report: WireReport::default(),
             weight_source: "silent".into(),
             period_us: base.tick as f64,
             zones: Vec::new(),
@@ -155,15 +157,15 @@
     }
 }
 
-impl Default for Specifics {
+impl Default for WireMode {
     fn default() -> Self {
-        Specifics { mode: "through".into(), origin_kind: -1 }
+        WireMode { mode: "through".into(), origin_kind: -1 }
     }
 }
 
-impl Default for Limits {
+impl Default for WireLimits {
     fn default() -> Self {
-        Limits {
+        WireLimits {
             max_attempts: Settings::default().max_attempts,
             may_duplicate: false,
             may_cancel: false,
@@ -177,39 +179,40 @@
     }
 }
 
-impl Default for Guarantees {
+impl Default for WireGuarantees {
     fn default() -> Self {
         let base = Settings::default();
-        Guarantees {
+        WireGuarantees {
             ask_within_us: base.change_notice_limit as f64,
             cold_share: base.cold_share,
             cold_us: base.warm_up as f64,
             drain_grace_us: 1e6,
             drain_release_us: None,
-            fall_multiple: base.fall_multiple,
-            tip_after_us: base.fall_after as f64,
+            fall_multiple: base.crash_load_multiple,
+            tip_after_us: base.crash_after as f64,
         }
     }
 }
 
-/// Reads a settings text; the error is one plain line.
+/// Reads a settings text. The error is a single line.
 pub fn read(text: &[u8]) -> Result<Site, String> {
-    let wire: Wire = serde_json::from_slice(text).map_err(|e| format!("unreadable settings: {e}"))?;
+    let wire: WireSettings = serde_json::from_slice(text).map_err(|e| format!("unreadable settings: {e}"))?;
     let mut classes = Vec::with_capacity(wire.classes.len());
     for c in &wire.classes {
         classes.push(class(c)?);
     }
-    let origin = (wire.specifics.mode == "aside").then(|| u16::try_from(wire.specifics.origin_kind).ok());
+    let origin_kind =
+        (wire.specifics.mode == "aside").then(|| u16::try_from(wire.specifics.origin_kind).ok());
     let limits = wire.limits;
-    let decisions = Settings {
+    let module_settings = Settings {
         balancers: wire.balancers,
         own_index: wire.me,
         classes,
         tenants: wire.realms.iter().map(|r| Tenant { quota_per_s: r.quota_per_s }).collect(),
         pull_discovery: wire.discovery == "ask",
         change_notice_limit: micros(wire.guarantees.ask_within_us),
-        origin_kind: origin.flatten(),
-        weights_are_sizes: matches!(wire.weight_source.as_str(), "nominal" | "rough"),
+        origin_kind: origin_kind.flatten(),
+        weights_are_capacities: matches!(wire.weight_source.as_str(), "nominal" | "rough"),
         load_fields: wire.report.fields.iter().map(|f| load_field(f)).collect(),
         max_attempts: limits.max_attempts,
         may_duplicate: limits.may_duplicate,
@@ -219,13 +222,13 @@
         tick: micros(wire.period_us),
         cold_share: wire.guarantees.cold_share,
         warm_up: micros(wire.guarantees.cold_us),
-        fall_multiple: wire.guarantees.fall_multiple,
-        fall_after: micros(wire.guarantees.tip_after_us),
-        drain_close: wire.guarantees.drain_release_us.filter(|t| *t > 0.0).map(micros),
+        crash_load_multiple: wire.guarantees.fall_multiple,
+        crash_after: micros(wire.guarantees.tip_after_us),
+        drain_close_limit: wire.guarantees.drain_release_us.filter(|t| *t > 0.0).map(micros),
         ..Settings::default()
     };
     Ok(Site {
-        policy: decisions,
+        policy: module_settings,
         classes: wire.classes.into_iter().map(|c| c.name).collect(),
         tenants: wire.realms.into_iter().map(|r| r.name).collect(),
         zones: wire.zones,
@@ -240,14 +243,14 @@
 }
 
 fn class(c: &WireClass) -> Result<Class, String> {
-    let group = match c.dedup_scope.as_str() {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        _ => Group::Cell,
+    let scope = match c.dedup_scope.as_str() {
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        _ => DedupScope::Cell,
     };
     let effect = match c.effect.as_str() {
         "pure" => Effect::Safe,
-        "token" => Effect::Keyed { group, window: micros(c.dedup_window_us) },
+        "token" => Effect::Keyed { scope, window: micros(c.dedup_window_us) },
         "side_effect" => Effect::Unsafe,
         other => {
             return Err(format!("unreadable settings: unknown effect {other:?} of a class"));
@@ -265,8 +268,8 @@
     })
 }
 
-/// The number of a server's id: made from the id alone, so that every balancer has the same and the order of servers is
-/// shared. Where two ids of one list clash, the later one takes its next try.
+/// Returns the number of a server. It depends on the id alone, so that every balancer assigns the same number
+/// and orders servers alike. If two ids of one list collide, the later one uses the next `attempt`.
 pub fn server_number(id: &str, attempt: u64) -> ServerId {
     xxh3_64_with_seed(id.as_bytes(), attempt) as ServerId
 }
@@ -283,10 +286,10 @@
     }
 }
 
-/// The longest span taken, 31 years: sums with a clock stay far from overflow.
-const LONGEST: f64 = 1e15;
+/// Upper limit of durations, 31 years: sums with a clock value stay far from overflow.
+const MAX_DURATION_US: f64 = 1e15;
 
-/// Saturating: a negative figure counts as 0, one past the longest span as that.
+/// Converts a duration, saturating: negative values become 0, and values above the limit become the limit.
 fn micros(value: f64) -> Micros {
-    value.min(LONGEST) as Micros
+    value.min(MAX_DURATION_US) as Micros
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -17,7 +17,7 @@
 
 pub fn settings() -> Settings {
     let read = Class { target_latency: 750 * MS, deadline: 1500 * MS, ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::All, window: 200 * MS };
+    let keyed = Effect::Keyed { scope: DedupScope::All, window: 200 * MS };
     let write = Class { target_latency: 150 * MS, deadline: 300 * MS, effect: keyed, ..Class::default() };
     let once = Class {
         target_latency: 300 * MS,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -57,11 +57,11 @@
 #[test]
 fn a_hot_key_does_not_push_a_cold_server_over() {
     let sent = sent_to_a_cold_server(6, 4);
-    let window = Settings::default().fall_after;
+    let window = Settings::default().crash_after;
     let share = f64::from(BALANCERS) * window as f64 / GAP as f64 / f64::from(SERVERS);
     for from in &sent {
         let count = sent.iter().filter(|t| (*from..from + window).contains(t)).count() as f64;
-        let most = Settings::default().fall_multiple * warmth(*from) * share;
+        let most = Settings::default().crash_load_multiple * warmth(*from) * share;
         assert!(count <= most, "{count} from {from} on, of {most:.0}");
     }
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -725,7 +725,7 @@
     // First score of a site with this rule: a connection was open 0.82 s after the notice.
     let close = 800 * MS;
     let closes = |actions: &[Action], id| actions.contains(&Action::CloseIdle(id));
-    let mut node = Node::new(Settings { drain_close: Some(close), ..settings() }, 3);
+    let mut node = Node::new(Settings { drain_close_limit: Some(close), ..settings() }, 3);
     let to = sent_to(&node.request(read(1, 9))).unwrap();
     let draining = ServerEntry { condition: Condition::Draining, ..server(to) };
     assert!(closes(&node.list(ListKind::Delta, vec![draining.clone()]), to), "at the notice");
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -51,11 +51,11 @@
             max_attempts,
             balancers,
             tenants,
-            group,
+            scope,
             cold_share,
             (cancel, bound, close),
         )| {
-            let group = [Group::All, Group::Zone, Group::Cell][usize::from(group)];
+            let scope = [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(scope)];
             let class = |effect| Class {
                 target_latency: 200_000,
                 deadline: 900_000,
@@ -68,18 +68,18 @@
                 balancers,
                 classes: vec![
                     class(Effect::Safe),
-                    class(Effect::Keyed { group, window: 300_000 }),
+                    class(Effect::Keyed { scope, window: 300_000 }),
                     class(Effect::Unsafe),
                 ],
                 tenants: vec![Tenant { quota_per_s: 5.0 }; tenants],
                 pull_discovery: ask,
                 change_notice_limit: 1_000_000,
                 origin_kind: aside.then_some(ORIGIN_KIND),
-                weights_are_sizes: sizes,
+                weights_are_capacities: sizes,
                 max_attempts,
                 may_duplicate: duplicate,
                 may_cancel: cancel,
-                drain_close: close.then_some(400_000),
+                drain_close_limit: close.then_some(400_000),
                 may_message_peers: peers,
                 cold_share,
                 warm_up: 2_000_000,
@@ -171,7 +171,7 @@
 
     /// The rule on closing: from a notice, and from the last outcome at a server known to drain.
     fn note_drains(&mut self, event: &Event) {
-        let Some(close) = self.settings.drain_close else { return };
+        let Some(close) = self.settings.drain_close_limit else { return };
         let told: Vec<ServerId> = match event {
             Event::ServerList { servers, .. } => {
                 servers.iter().filter(|l| l.condition == Condition::Draining).map(|l| l.id).collect()
@@ -208,13 +208,13 @@
                 match self.settings.classes[owed.class].effect {
                     Effect::Safe => {}
                     Effect::Unsafe => assert!(running.is_empty(), "an unsafe request sent twice"),
-                    Effect::Keyed { group, window } => {
+                    Effect::Keyed { scope, window } => {
                         for a in running {
                             let first = &self.lines[&a.server];
-                            let same = match group {
-                                Group::All => true,
-                                Group::Zone => first.zone == line.zone,
-                                Group::Cell => first.cell == line.cell,
+                            let same = match scope {
+                                DedupScope::All => true,
+                                DedupScope::Zone => first.zone == line.zone,
+                                DedupScope::Cell => first.cell == line.cell,
                             };
                             assert!(same && self.now < a.at + window, "a keyed request outside its group");
                         }
@@ -389,7 +389,8 @@
     let strategy = (3..9u32, 0.12..0.5f64, 10..40u64, any::<u64>());
     let result = runner.run(&strategy, |(servers, cold_share, gap_ms, seed)| {
         let settings = Settings { cold_share, origin_kind: Some(ORIGIN_KIND), ..Settings::default() };
-        let (multiple, span, warm_up) = (settings.fall_multiple, settings.fall_after, settings.warm_up);
+        let (multiple, span, warm_up) =
+            (settings.crash_load_multiple, settings.crash_after, settings.warm_up);
         let mut policy = Policy::new(settings, seed);
         let (mut now, mut out, mut sends) = (60_000_000, Vec::new(), Vec::new());
         let line = |id, started| ServerEntry { id, started, ..ServerEntry::default() };
