--- a/src/interface.rs
+++ b/src/interface.rs
@@ -49,9 +49,9 @@
     pub cold_share: f64,
     /// Time after its start by which a server is warm.
     pub warm_up: Micros,
-    /// A cold server crashes when it is sent more than this multiple of its present capacity ...
+    /// Load that crashes a cold server, as a multiple of its present capacity.
     pub crash_load_multiple: f64,
-    /// ... for this long.
+    /// Duration of such a load after which the server crashes.
     pub crash_after: Micros,
     /// Time within which idle connections to a draining server must be closed; `None` if there is no such
     /// rule.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -80,9 +80,9 @@
 /// A server with a key share below this is reported as avoided; a mean below it over all servers shows a
 /// shared cause.
 const AVOIDED_KEY_SHARE: f64 = 0.5;
-/// Signs of trouble per attempt that are tolerated at a server ...
+/// Signs of trouble per attempt that are tolerated at any server.
 const TROUBLE_BASE: f64 = 0.3;
-/// ... plus this multiple of the fleet's signs of overload per attempt.
+/// Signs of trouble tolerated in addition, as a multiple of the fleet's signs of overload per attempt.
 const TROUBLE_FLEET_MULTIPLE: f64 = 1.0;
 
 /// Signs of overload per attempt above which tenants are held to their quotas.
