--- a/src/interface.rs
+++ b/src/interface.rs
@@ -62,7 +62,8 @@
     /// Rate of attempts at a cold server, as a multiple of a warm server's rate times the share of its
     /// capacity that the cold server has so far.
     pub cold_rate: f64,
-    /// What each request adds to the retry budget; with 0, only attempts that never ran are retried.
+    /// What each request adds to the retry budget; with 0, requests are retried only after attempts that cost
+    /// the server no work.
     pub retry_budget: f64,
 }
 
