--- a/crates/mothpier-membership/src/admin_drain.rs
+++ b/crates/mothpier-membership/src/admin_drain.rs
@@ -1,207 +1,219 @@
-//! Boxes that staff have taken out by hand. Pure: a filter behind every source, so that the hand outranks them all.
+//! Cache servers that operators have drained, on this node or for the whole fleet. Performs no I/O.
 //!
-//! | the sources say | by hand | it counts as |
+//! This filter is applied after all membership sources, so that operators override every one of them.
+//!
+//! | reported by the sources | drain state | effective record |
 //! | --- | --- | --- |
-//! | ready | out, or drained by the fleet's agreement | draining |
-//! | draining, gone, nothing | out | what they say; it stays out when it comes back |
-//! | anything | back in | what they say, cold since the call back unless they know of a start after the call out |
+//! | ready | drained on this node or by a fleet-wide drain | draining |
+//! | draining, gone or not listed | drained on this node | as reported; still drained when it comes back |
+//! | anything | drain ended | as reported; cold from then on unless a later start than the drain is known |
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::server_record::{Phase, ServerRecord};
 
-/// Boxes that may be out at a time: far more than a fleet has, and a bound for what callers can make a node keep.
-pub const MOST_OUT: usize = 4_096;
-/// The longest id that is kept.
+/// Maximum number of servers that may be drained at a time: far more than a fleet has. Bounds the memory that
+/// callers can make a node use.
+pub const MAX_DRAINED: usize = 4_096;
+/// Maximum length of a server id, in bytes.
 pub const MOST_ID: usize = 256;
 
-/// Why a call is not obeyed.
+/// Reason why a drain or a return to service was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminDrainError {
-    /// Neither the sources nor the hand know it.
+    /// No source lists the server and it is not drained.
     Unknown,
-    /// It is the origin, without which no write goes anywhere.
+    /// The server is the origin, without which no write can be carried out.
     Origin,
-    /// Too many are out.
-    Full,
+    /// [`MAX_DRAINED`] servers are drained already.
+    LimitReached,
 }
 
 impl AdminDrainError {
-    /// In words for staff.
+    /// Returns a description for operators.
     pub fn name(self) -> &'static str {
         match self {
             AdminDrainError::Unknown => "no cache server of this id is known here",
             AdminDrainError::Origin => "that is the origin, not a cache server",
-            AdminDrainError::Full => "too many cache servers are out by hand",
+            AdminDrainError::LimitReached => "too many cache servers are out by hand",
         }
     }
 }
 
-/// What staff say of boxes, and what the sources last said of each.
+/// The drains in force, and the last record of each server from the sources.
 #[derive(Clone, Debug, Default)]
 pub struct AdminDrains {
+    /// Machine kind of the origin.
     origin: Option<String>,
+    /// Records as reported by the sources, by server id.
     listed: BTreeMap<String, ServerRecord>,
-    /// Out, and since when.
-    out: BTreeMap<String, u64>,
-    /// Drained by the fleet's agreement, and since when: a set of its own, so that neither word undoes the other.
-    agreed: BTreeMap<String, u64>,
-    /// Back, when they were taken out and when they came back.
-    back: BTreeMap<String, (u64, u64)>,
+    /// Servers drained on this node, with the time at which the drain began.
+    admin_drained: BTreeMap<String, u64>,
+    /// Servers drained by a fleet-wide drain, with the time at which it began. Kept apart from
+    /// `admin_drained` so that ending one kind of drain does not end the other.
+    fleet_drained: BTreeMap<String, u64>,
+    /// Servers back in service, with the times at which their drain began and ended.
+    returned: BTreeMap<String, (u64, u64)>,
 }
 
 impl AdminDrains {
-    /// Nothing is out; the origin's machine kind tells what is no cache server.
+    /// Creates a filter without drains. `origin` is the machine kind that marks the origin's record.
     pub fn new(origin: Option<String>) -> Self {
         AdminDrains { origin, ..AdminDrains::default() }
     }
 
-    /// Takes what the sources say, whole or changes, and gives it as it counts.
-    pub fn list(&mut self, whole: bool, mut lines: Vec<ServerRecord>) -> Vec<ServerRecord> {
+    /// Takes records from the sources, either a complete list (`whole`) or changes only, and returns the
+    /// effective records.
+    pub fn list(&mut self, whole: bool, mut records: Vec<ServerRecord>) -> Vec<ServerRecord> {
         if whole {
             self.listed.clear();
         }
-        for line in &mut lines {
-            if line.phase == Phase::Gone {
-                self.listed.remove(&line.id);
+        for record in &mut records {
+            if record.phase == Phase::Gone {
+                self.listed.remove(&record.id);
             } else {
-                self.listed.insert(line.id.clone(), line.clone());
+                self.listed.insert(record.id.clone(), record.clone());
             }
-            *line = self.counts(line.clone());
+            *record = self.effective_record(record.clone());
         }
-        // What was assumed of a start holds until the box goes: it comes back under its own start, then.
+        // An assumed start time lapses when the server goes away: on its return the reported one counts.
         let listed = &self.listed;
-        self.back.retain(|id, _| listed.contains_key(id));
-        lines
+        self.returned.retain(|id, _| listed.contains_key(id));
+        records
     }
 
-    /// Takes a box out. Gives the line that changes by it, if one does.
+    /// Drains a server. Returns its effective record if this changed it.
     ///
     /// # Errors
     ///
-    /// One that is not known here or is no cache server.
+    /// The server is unknown or is the origin, or too many servers are drained.
     pub fn exclude(&mut self, now: u64, id: &str) -> Result<Option<ServerRecord>, AdminDrainError> {
-        if self.out.contains_key(id) {
+        if self.admin_drained.contains_key(id) {
             return Ok(None);
         }
-        let line = self.listed.get(id).ok_or(AdminDrainError::Unknown)?;
-        if self.is_origin(line) {
+        let record = self.listed.get(id).ok_or(AdminDrainError::Unknown)?;
+        if self.is_origin(record) {
             return Err(AdminDrainError::Origin);
         }
-        if self.out.len() >= MOST_OUT {
-            return Err(AdminDrainError::Full);
+        if self.admin_drained.len() >= MAX_DRAINED {
+            return Err(AdminDrainError::LimitReached);
         }
-        let line = line.clone();
-        self.back.remove(id);
-        self.out.insert(id.to_owned(), now);
-        Ok(Some(self.counts(line)))
+        let record = record.clone();
+        self.returned.remove(id);
+        self.admin_drained.insert(id.to_owned(), now);
+        Ok(Some(self.effective_record(record)))
     }
 
-    /// Lets a box serve again. Gives the line that changes by it, if one does.
+    /// Puts a server back into service. Returns its effective record if this changed it.
     ///
     /// # Errors
     ///
-    /// One that neither the sources nor the hand know.
+    /// The server is neither listed nor drained, or is the origin.
     pub fn include(&mut self, now: u64, id: &str) -> Result<Option<ServerRecord>, AdminDrainError> {
-        let since = self.out.remove(id);
-        let drained = self.agreed.contains_key(id);
-        match (since, self.listed.get(id).cloned()) {
+        let drained_at = self.admin_drained.remove(id);
+        let drained = self.fleet_drained.contains_key(id);
+        match (drained_at, self.listed.get(id).cloned()) {
             (Some(_), Some(_)) if drained => Ok(None),
             (None, None) => Err(AdminDrainError::Unknown),
-            (None, Some(line)) if self.is_origin(&line) => Err(AdminDrainError::Origin),
+            (None, Some(record)) if self.is_origin(&record) => Err(AdminDrainError::Origin),
             (None, Some(_)) | (Some(_), None) => Ok(None),
-            (Some(since), Some(line)) => {
-                self.back.insert(id.to_owned(), (since, now));
-                Ok(Some(self.counts(line)))
+            (Some(drained_at), Some(record)) => {
+                self.returned.insert(id.to_owned(), (drained_at, now));
+                Ok(Some(self.effective_record(record)))
             }
         }
     }
 
-    /// Who is drained by the fleet's agreement, all of them. Gives the lines that change by it.
+    /// Replaces the complete set of servers that fleet-wide drains cover. Returns the effective records that
+    /// this changed.
     pub fn agree(&mut self, now: u64, drained: &BTreeSet<String>) -> Vec<ServerRecord> {
         let mut changed: Vec<ServerRecord> = Vec::new();
-        let over: Vec<(String, u64)> = self.agreed.extract_if(.., |id, _| !drained.contains(id)).collect();
-        for (id, since) in over.into_iter().filter(|(id, _)| !self.out.contains_key(id)) {
-            let line = self.listed.get(&id).filter(|line| !self.is_origin(line)).cloned();
-            if let Some(line) = line {
-                self.back.insert(id, (since, now));
-                changed.push(self.counts(line));
+        let ended: Vec<(String, u64)> =
+            self.fleet_drained.extract_if(.., |id, _| !drained.contains(id)).collect();
+        for (id, drained_at) in ended.into_iter().filter(|(id, _)| !self.admin_drained.contains_key(id)) {
+            let record = self.listed.get(&id).filter(|record| !self.is_origin(record)).cloned();
+            if let Some(record) = record {
+                self.returned.insert(id, (drained_at, now));
+                changed.push(self.effective_record(record));
             }
         }
-        for id in drained.iter().take(MOST_OUT) {
-            if self.agreed.insert(id.clone(), now).is_none() && !self.out.contains_key(id) {
-                self.back.remove(id);
-                let line = self.listed.get(id).filter(|line| !self.is_origin(line)).cloned();
-                changed.extend(line.map(|line| self.counts(line)));
+        for id in drained.iter().take(MAX_DRAINED) {
+            if self.fleet_drained.insert(id.clone(), now).is_none() && !self.admin_drained.contains_key(id) {
+                self.returned.remove(id);
+                let record = self.listed.get(id).filter(|record| !self.is_origin(record)).cloned();
+                changed.extend(record.map(|record| self.effective_record(record)));
             }
         }
         changed
     }
 
-    /// The cache servers that the sources say are ready, whatever is said by hand.
+    /// Returns the cache servers that the sources report as ready, drained or not.
     pub fn ready(&self) -> impl Iterator<Item = &ServerRecord> {
-        self.listed.values().filter(|line| line.phase == Phase::Ready && !self.is_origin(line))
+        self.listed.values().filter(|record| record.phase == Phase::Ready && !self.is_origin(record))
     }
 
-    /// One that knows of nobody who is out.
+    /// Returns a filter for the same origin without any drains or records.
     pub fn emptied(self) -> Self {
         AdminDrains::new(self.origin)
     }
 
-    /// What the sources say, without the hand.
+    /// Returns the records as the sources report them, without the effect of drains.
     pub fn listed(&self) -> impl Iterator<Item = &ServerRecord> {
         self.listed.values()
     }
 
-    /// Who is out, and since when.
-    pub fn out(&self) -> &BTreeMap<String, u64> {
-        &self.out
+    /// Returns the servers drained on this node, with the time at which each drain began.
+    pub fn admin_drained(&self) -> &BTreeMap<String, u64> {
+        &self.admin_drained
     }
 
-    /// Takes over who is out from an earlier process or another one of this node. Gives the lines that change by it.
-    pub fn take_over(&mut self, now: u64, out: &BTreeMap<String, u64>) -> Vec<ServerRecord> {
+    /// Replaces the drains of this node by those of an earlier or concurrent process of the same node.
+    /// Returns the effective records that this changed.
+    pub fn take_over(&mut self, now: u64, admin_drained: &BTreeMap<String, u64>) -> Vec<ServerRecord> {
         let mut changed: Vec<ServerRecord> = Vec::new();
-        let back: Vec<String> = self.out.keys().filter(|id| !out.contains_key(*id)).cloned().collect();
-        for id in back {
+        let returned: Vec<String> =
+            self.admin_drained.keys().filter(|id| !admin_drained.contains_key(*id)).cloned().collect();
+        for id in returned {
             changed.extend(self.include(now, &id).ok().flatten());
         }
-        for (id, since) in out.iter().take(MOST_OUT) {
-            if self.out.insert(id.clone(), *since).is_none() {
-                self.back.remove(id);
-                changed.extend(self.listed.get(id).cloned().map(|line| self.counts(line)));
+        for (id, drained_at) in admin_drained.iter().take(MAX_DRAINED) {
+            if self.admin_drained.insert(id.clone(), *drained_at).is_none() {
+                self.returned.remove(id);
+                changed.extend(self.listed.get(id).cloned().map(|record| self.effective_record(record)));
             }
         }
         changed
     }
 
-    /// The cache servers that the sources name, and whether each takes requests as far as they and the hand say.
+    /// Returns the listed cache servers, each with whether it takes requests (reported ready, not drained).
     pub fn members(&self) -> impl Iterator<Item = (&str, bool)> {
-        let boxes = self.listed.values().filter(|line| !self.is_origin(line));
-        boxes.map(|l| (l.id.as_str(), l.phase == Phase::Ready && !self.is_out(l)))
+        let servers = self.listed.values().filter(|record| !self.is_origin(record));
+        servers.map(|record| (record.id.as_str(), record.phase == Phase::Ready && !self.is_drained(record)))
     }
 
-    fn is_origin(&self, line: &ServerRecord) -> bool {
-        self.origin.as_ref().is_some_and(|kind| *kind == line.flavor)
+    fn is_origin(&self, record: &ServerRecord) -> bool {
+        self.origin.as_ref().is_some_and(|kind| *kind == record.flavor)
     }
 
-    fn is_out(&self, line: &ServerRecord) -> bool {
-        // The origin is no cache server, whatever it is called.
-        self.out.contains_key(&line.id) || self.agreed.contains_key(&line.id) && !self.is_origin(line)
+    fn is_drained(&self, record: &ServerRecord) -> bool {
+        // A fleet-wide drain of an id does not apply if that id belongs to the origin.
+        self.admin_drained.contains_key(&record.id)
+            || self.fleet_drained.contains_key(&record.id) && !self.is_origin(record)
     }
 
-    /// A line as it counts.
-    fn counts(&self, mut line: ServerRecord) -> ServerRecord {
-        if self.is_out(&line) {
-            if line.phase == Phase::Ready {
-                line.phase = Phase::Draining;
+    /// Applies the drains to a record from the sources.
+    fn effective_record(&self, mut record: ServerRecord) -> ServerRecord {
+        if self.is_drained(&record) {
+            if record.phase == Phase::Ready {
+                record.phase = Phase::Draining;
             }
-        } else if let Some((since, back)) = self.back.get(&line.id)
-            && line.up_since_ms <= *since
+        } else if let Some((drained_at, returned_at)) = self.returned.get(&record.id)
+            && record.up_since_ms <= *drained_at
         {
-            // It was likely restarted while out, and the sources are late to tell.
-            line.up_since_ms = *back;
+            // The server was probably restarted while drained, and the sources have not reported it yet.
+            record.up_since_ms = *returned_at;
         }
-        line
+        record
     }
 }
 
--- a/crates/mothpier-membership/src/dns_servers.rs
+++ b/crates/mothpier-membership/src/dns_servers.rs
@@ -1,36 +1,36 @@
-//! What is held of DNS: the boxes that it named, and the doubt when many vanish at once.
+//! The servers that DNS names. Their removal is delayed when many of them disappear at once.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A box that DNS names.
+/// A server named by DNS.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DnsServer {
-    /// Where it is.
+    /// Address and port.
     pub address: SocketAddr,
-    /// Lower ones are used first (RFC 2782).
+    /// SRV priority; servers of the lowest one are used first (RFC 2782).
     pub priority: u16,
-    /// Its part among those of one priority.
+    /// SRV weight: the relative share among servers of the same priority.
     pub weight: u16,
 }
 
-/// How far what DNS says may be trusted.
+/// How far the data from DNS may be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DnsTrust {
-    /// Nothing was heard yet.
+    /// No answer has been received yet.
     Unknown,
-    /// It holds.
+    /// The answer is within its lifetime.
     Fresh,
-    /// It has run out; nothing newer is to be had.
+    /// The lifetime has passed and no newer answer could be obtained.
     Stale,
-    /// There are no boxes, it says.
+    /// DNS answered that there are no servers.
     Nothing,
-    /// It is too old to be used.
+    /// The last answer is too old to be used.
     Silent,
 }
 
 impl DnsTrust {
-    /// Its name for people.
+    /// Returns the name shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             DnsTrust::Unknown => "unknown",
@@ -42,14 +42,15 @@
     }
 }
 
-/// When a source that shrinks is not obeyed at once.
+/// Decides when the removal of servers from DNS must be confirmed before it takes effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShrinkGuard {
-    /// More than this part of its boxes gone in one answer is doubted; so is an empty answer.
+    /// The loss of more than this share of the servers in one answer must be confirmed; so must an empty
+    /// answer.
     pub share: f64,
-    /// Further answers that must say the same.
+    /// Number of further answers that must confirm the loss.
     pub confirm: u64,
-    /// And so much time must have passed, milliseconds.
+    /// Time that must also have passed since the loss was first seen, in milliseconds.
     pub hold_ms: u64,
 }
 
@@ -60,93 +61,104 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Held {
-    named: DnsServer,
-    /// When it was first named here: it counts as started then.
-    since: u64,
-    lost: bool,
+struct Entry {
+    server: DnsServer,
+    /// When DNS first named the server, which counts as the start time of its process.
+    first_named_at: u64,
+    /// No longer named by DNS.
+    missing: bool,
 }
 
+/// A loss of servers that awaits confirmation.
 #[derive(Clone, Debug, PartialEq)]
-struct Doubted {
-    since: u64,
-    /// The count of answers when it began, and those that have said the same since.
+struct PendingRemoval {
+    started_at: u64,
+    /// The answer counter at the last answer taken into account.
     answers: u64,
+    /// Number of further answers that confirmed the loss.
     confirmed: u64,
 }
 
-/// The boxes that DNS named.
+/// The servers that DNS has named, by address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DnsServers {
-    doubt: ShrinkGuard,
-    held: BTreeMap<SocketAddr, Held>,
-    doubted: Option<Doubted>,
-    word: DnsTrust,
+    guard: ShrinkGuard,
+    entries: BTreeMap<SocketAddr, Entry>,
+    pending_removal: Option<PendingRemoval>,
+    trust: DnsTrust,
 }
 
 impl DnsServers {
-    /// Nothing yet.
-    pub fn new(doubt: ShrinkGuard) -> Self {
-        DnsServers { doubt, held: BTreeMap::new(), doubted: None, word: DnsTrust::Unknown }
+    /// Creates an empty set.
+    pub fn new(guard: ShrinkGuard) -> Self {
+        DnsServers { guard, entries: BTreeMap::new(), pending_removal: None, trust: DnsTrust::Unknown }
     }
 
-    /// Takes what DNS says as of now. `all` is false while some hosts' addresses are not known: nothing is taken away
-    /// then. `answers` counts the answers that were heard.
-    pub fn heard(&mut self, now: u64, word: DnsTrust, named: &[DnsServer], all: bool, answers: u64) {
-        self.word = word;
-        match word {
+    /// Takes the current data from DNS. `complete` is false while the addresses of some hosts are unknown; no
+    /// server is removed then, unless DNS answered that there are none. `answers` is the number of answers
+    /// received so far.
+    pub fn update(&mut self, now: u64, trust: DnsTrust, named: &[DnsServer], complete: bool, answers: u64) {
+        self.trust = trust;
+        match trust {
             DnsTrust::Unknown => return,
-            DnsTrust::Silent => return self.held.clear(),
+            DnsTrust::Silent => return self.entries.clear(),
             DnsTrust::Fresh | DnsTrust::Stale | DnsTrust::Nothing => {}
         }
-        for n in named {
-            let held = self.held.entry(n.address).or_insert(Held { named: *n, since: now, lost: false });
-            (held.named, held.lost) = (*n, false);
+        for server in named {
+            let entry = self.entries.entry(server.address).or_insert(Entry {
+                server: *server,
+                first_named_at: now,
+                missing: false,
+            });
+            (entry.server, entry.missing) = (*server, false);
         }
-        if !all && word != DnsTrust::Nothing {
+        if !complete && trust != DnsTrust::Nothing {
             return;
         }
-        let mut lost = 0;
-        for (address, held) in &mut self.held {
-            held.lost = !named.iter().any(|n| n.address == *address);
-            lost += usize::from(held.lost);
+        let mut missing = 0;
+        for (address, entry) in &mut self.entries {
+            entry.missing = !named.iter().any(|server| server.address == *address);
+            missing += usize::from(entry.missing);
         }
-        if lost == 0 {
-            self.doubted = None;
+        if missing == 0 {
+            self.pending_removal = None;
             return;
         }
-        let sudden = named.is_empty() || lost as f64 > (self.held.len() as f64 * self.doubt.share).max(1.0);
-        if self.doubted.is_none() && !sudden {
-            return self.held.retain(|_, held| !held.lost);
+        let sudden =
+            named.is_empty() || missing as f64 > (self.entries.len() as f64 * self.guard.share).max(1.0);
+        if self.pending_removal.is_none() && !sudden {
+            return self.entries.retain(|_, entry| !entry.missing);
         }
-        let doubted = self.doubted.get_or_insert(Doubted { since: now, answers, confirmed: 0 });
-        if doubted.answers != answers {
-            (doubted.answers, doubted.confirmed) = (answers, doubted.confirmed + 1);
+        let pending =
+            self.pending_removal.get_or_insert(PendingRemoval { started_at: now, answers, confirmed: 0 });
+        if pending.answers != answers {
+            (pending.answers, pending.confirmed) = (answers, pending.confirmed + 1);
         }
-        if doubted.confirmed >= self.doubt.confirm && now >= doubted.since + self.doubt.hold_ms {
-            self.doubted = None;
-            self.held.retain(|_, held| !held.lost);
+        if pending.confirmed >= self.guard.confirm && now >= pending.started_at + self.guard.hold_ms {
+            self.pending_removal = None;
+            self.entries.retain(|_, entry| !entry.missing);
         }
     }
 
-    /// The boxes that count: each with the time since when it is named, and whether that is doubted.
-    pub fn boxes(&self) -> impl Iterator<Item = (DnsServer, u64, bool)> + '_ {
-        self.held.values().map(|h| (h.named, h.since, h.lost))
+    /// Returns the servers in use, each with the time at which it was first named and whether its removal is
+    /// pending.
+    pub fn servers(&self) -> impl Iterator<Item = (DnsServer, u64, bool)> + '_ {
+        self.entries.values().map(|entry| (entry.server, entry.first_named_at, entry.missing))
     }
 
-    /// How far it is trusted.
-    pub fn word(&self) -> DnsTrust {
-        self.word
+    /// Returns how far the data may be trusted.
+    pub fn trust(&self) -> DnsTrust {
+        self.trust
     }
 
-    /// Boxes that vanished and are held all the same.
-    pub fn doubted(&self) -> usize {
-        self.held.values().filter(|h| h.lost).count()
+    /// Returns the number of servers that DNS no longer names and whose removal is not confirmed yet.
+    pub fn pending_removals(&self) -> usize {
+        self.entries.values().filter(|entry| entry.missing).count()
     }
 
-    /// Whether a box at an address is named, held in doubt included.
-    pub fn has(&self, address: SocketAddr) -> bool {
-        self.held.contains_key(&address)
+    /// Returns whether there is a server at the address, including those whose removal is pending.
+    pub fn contains(&self, address: SocketAddr) -> bool {
+        self.entries.contains_key(&address)
     }
 }
 
--- a/crates/mothpier-membership/src/dns_servers/tests.rs
+++ b/crates/mothpier-membership/src/dns_servers/tests.rs
@@ -1,55 +1,56 @@
 use super::*;
 
-fn boxes(numbers: std::ops::Range<u8>) -> Vec<DnsServer> {
+fn servers(numbers: std::ops::Range<u8>) -> Vec<DnsServer> {
     let named = |n| DnsServer { address: SocketAddr::from(([10, 1, 0, n], 6379)), priority: 0, weight: 1 };
     numbers.map(named).collect()
 }
 
-/// 40 boxes vanish in one answer and return in the next: nothing happens to them, not even to their age.
+/// 40 of 60 servers missing from one answer and back in the next are kept, with the time at which they were
+/// first named.
 #[test]
-fn a_sudden_loss_is_held_until_further_answers_say_the_same_for_long_enough() {
-    let mut names = DnsServers::new(ShrinkGuard { share: 0.3, confirm: 2, hold_ms: 10_000 });
-    names.heard(100, DnsTrust::Fresh, &boxes(0..60), true, 1);
-    let before: Vec<_> = names.boxes().collect();
-    names.heard(200, DnsTrust::Fresh, &boxes(40..60), true, 2);
-    assert_eq!((names.boxes().count(), names.doubted()), (60, 40));
-    names.heard(300, DnsTrust::Fresh, &boxes(0..60), true, 3);
-    assert_eq!(names.boxes().collect::<Vec<_>>(), before);
-    // The same answer looked at often is one; time alone is nothing, and answers without time neither.
-    names.heard(400, DnsTrust::Fresh, &boxes(40..60), true, 4);
-    (0..50).for_each(|n| names.heard(20_000 + n, DnsTrust::Fresh, &boxes(40..60), true, 4));
-    names.heard(20_100, DnsTrust::Fresh, &boxes(40..60), true, 5);
-    assert_eq!(names.boxes().count(), 60);
-    names.heard(20_200, DnsTrust::Fresh, &boxes(40..60), true, 6);
-    assert_eq!((names.boxes().count(), names.doubted()), (20, 0));
-    names.heard(20_300, DnsTrust::Fresh, &boxes(50..60), true, 7);
-    names.heard(20_400, DnsTrust::Fresh, &boxes(50..60), true, 8);
-    names.heard(20_500, DnsTrust::Fresh, &boxes(50..60), true, 9);
-    assert_eq!(names.boxes().count(), 20, "answers alone, within the hold");
+fn a_sudden_loss_is_applied_only_once_enough_answers_confirm_it_for_long_enough() {
+    let mut dns = DnsServers::new(ShrinkGuard { share: 0.3, confirm: 2, hold_ms: 10_000 });
+    dns.update(100, DnsTrust::Fresh, &servers(0..60), true, 1);
+    let before: Vec<_> = dns.servers().collect();
+    dns.update(200, DnsTrust::Fresh, &servers(40..60), true, 2);
+    assert_eq!((dns.servers().count(), dns.pending_removals()), (60, 40));
+    dns.update(300, DnsTrust::Fresh, &servers(0..60), true, 3);
+    assert_eq!(dns.servers().collect::<Vec<_>>(), before);
+    // Repeated reads of the same answer count once: the loss needs both further answers and the hold time.
+    dns.update(400, DnsTrust::Fresh, &servers(40..60), true, 4);
+    (0..50).for_each(|n| dns.update(20_000 + n, DnsTrust::Fresh, &servers(40..60), true, 4));
+    dns.update(20_100, DnsTrust::Fresh, &servers(40..60), true, 5);
+    assert_eq!(dns.servers().count(), 60);
+    dns.update(20_200, DnsTrust::Fresh, &servers(40..60), true, 6);
+    assert_eq!((dns.servers().count(), dns.pending_removals()), (20, 0));
+    dns.update(20_300, DnsTrust::Fresh, &servers(50..60), true, 7);
+    dns.update(20_400, DnsTrust::Fresh, &servers(50..60), true, 8);
+    dns.update(20_500, DnsTrust::Fresh, &servers(50..60), true, 9);
+    assert_eq!(dns.servers().count(), 20, "further answers alone do not suffice within the hold time");
 }
 
 #[test]
-fn a_few_go_at_once_and_none_while_hosts_are_not_known() {
-    let mut names = DnsServers::new(ShrinkGuard::default());
-    names.heard(1, DnsTrust::Fresh, &boxes(0..10), true, 1);
-    names.heard(2, DnsTrust::Fresh, &boxes(0..7), false, 2);
-    assert_eq!(names.boxes().count(), 10);
-    names.heard(3, DnsTrust::Fresh, &boxes(0..7), true, 2);
-    assert_eq!(names.boxes().count(), 7);
-    // A single box of two may go: a fleet of two is no fleet whose loss would be sudden.
+fn a_small_loss_is_applied_at_once_but_not_while_host_addresses_are_pending() {
+    let mut dns = DnsServers::new(ShrinkGuard::default());
+    dns.update(1, DnsTrust::Fresh, &servers(0..10), true, 1);
+    dns.update(2, DnsTrust::Fresh, &servers(0..7), false, 2);
+    assert_eq!(dns.servers().count(), 10);
+    dns.update(3, DnsTrust::Fresh, &servers(0..7), true, 2);
+    assert_eq!(dns.servers().count(), 7);
+    // The loss of one of two servers applies at once: one server alone is never a sudden loss.
     let mut two = DnsServers::new(ShrinkGuard::default());
-    two.heard(1, DnsTrust::Fresh, &boxes(0..2), true, 1);
-    two.heard(2, DnsTrust::Fresh, &boxes(0..1), true, 2);
-    assert_eq!(two.boxes().count(), 1);
+    two.update(1, DnsTrust::Fresh, &servers(0..2), true, 1);
+    two.update(2, DnsTrust::Fresh, &servers(0..1), true, 2);
+    assert_eq!(two.servers().count(), 1);
 }
 
 #[test]
-fn an_empty_answer_is_doubted_and_a_long_silence_is_not() {
-    let mut names = DnsServers::new(ShrinkGuard::default());
-    names.heard(1, DnsTrust::Fresh, &boxes(0..1), true, 1);
-    names.heard(2, DnsTrust::Nothing, &[], true, 2);
-    names.heard(3, DnsTrust::Stale, &boxes(0..1), true, 2);
-    assert_eq!((names.boxes().count(), names.doubted()), (1, 0));
-    names.heard(4, DnsTrust::Silent, &[], true, 2);
-    assert_eq!(names.boxes().count(), 0);
+fn an_empty_answer_needs_confirmation_and_expired_data_is_dropped_at_once() {
+    let mut dns = DnsServers::new(ShrinkGuard::default());
+    dns.update(1, DnsTrust::Fresh, &servers(0..1), true, 1);
+    dns.update(2, DnsTrust::Nothing, &[], true, 2);
+    dns.update(3, DnsTrust::Stale, &servers(0..1), true, 2);
+    assert_eq!((dns.servers().count(), dns.pending_removals()), (1, 0));
+    dns.update(4, DnsTrust::Silent, &[], true, 2);
+    assert_eq!(dns.servers().count(), 0);
 }
--- a/crates/mothpier-membership/src/gossip.rs
+++ b/crates/mothpier-membership/src/gossip.rs
@@ -1,43 +1,46 @@
-//! Word of mouth: nodes tell each other that a box drains or is gone, so that one whose list is out of reach keeps the
-//! drain all the same.
+//! Gossip between nodes: they notify each other of servers that are draining or gone, so that a node that
+//! cannot reach its server list still respects a drain.
 //!
-//! Only what a node's own list told it begins a rumour. Who hears one tells it on once, after a random pause, and not at all
-//! when it has heard others tell it meanwhile (as RFC 6206, Trickle, keeps still). A rumour is about one process of a box: one
-//! that started later is none of its business. It can only make a node more careful, ends by itself, and can't be begun
-//! again for the same process until a pause of the same length has passed; so a peer that lies or lags costs a bounded share
-//! of the boxes for a bounded part of the time.
+//! A node originates an item only for a change that its own list reported. A node that receives an item
+//! forwards it once after a random delay, unless enough copies from other nodes have arrived by then
+//! (suppression as in Trickle, RFC 6206). An item is about one process of a server and does not apply to a
+//! process that started later. It can only make a node more cautious, expires by itself, and cannot be
+//! renewed for the same process until a further period of the same length has passed. A faulty or lagging
+//! peer can therefore take out only a bounded share of the servers for a bounded part of the time.
 
 use std::collections::BTreeMap;
 
 use crate::server_record::Phase;
 
-/// How a message begins; the other kinds of messages between nodes begin otherwise.
+/// Prefix of a gossip message, which tells it apart from the other kinds of messages between nodes.
 pub const MAGIC: [u8; 4] = *b"MPW1";
-/// Bytes of one rumour: box, start, time told, phase, hops.
-const ENTRY: usize = 8 + 8 + 8 + 1 + 1;
-/// The longest message.
-const MOST_BYTES: usize = 256;
-/// Rumours that are kept.
-const MOST: usize = 1_024;
-/// A rumour that was told further in the future is no rumour: clocks differ by less.
-const AHEAD_MS: u64 = 2_000;
-/// It goes from whom the list told to all, and from those to all once more.
-const MOST_HOPS: u8 = 1;
-/// Between two tellings of one rumour, milliseconds.
-const TELL_MS: u64 = 120;
-/// A pause before it is told on, least and most, milliseconds.
-const PAUSE_MS: (u64, u64) = (150, 600);
-/// Told on by nobody who has heard it so often.
-const ENOUGH: u32 = 3;
-
-/// How rumours are dealt with.
+/// Encoded size of an item: server hash, process start, time of announcement, phase, hops.
+const ITEM_BYTES: usize = 8 + 8 + 8 + 1 + 1;
+/// Maximum size of a message.
+const MAX_MESSAGE_BYTES: usize = 256;
+/// Maximum number of items kept.
+const MAX_ITEMS: usize = 1_024;
+/// Items announced further in the future than this are rejected: the clocks of nodes differ by less.
+const MAX_CLOCK_SKEW_MS: u64 = 2_000;
+/// Maximum number of forwards: the originator sends an item to all nodes, and each of them once more to all.
+const MAX_HOPS: u8 = 1;
+/// Interval between two transmissions of an item by the same node, in milliseconds.
+const SEND_INTERVAL_MS: u64 = 120;
+/// Minimum random delay before an item is forwarded, in milliseconds.
+const MIN_FORWARD_DELAY_MS: u64 = 150;
+/// Upper bound (exclusive) of the random delay before an item is forwarded, in milliseconds.
+const MAX_FORWARD_DELAY_MS: u64 = 600;
+/// A node that has received this many copies of an item does not forward it (Trickle's redundancy constant).
+const REDUNDANCY_LIMIT: u32 = 3;
+
+/// Settings of gossip between nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How long one counts after it was told by a list, milliseconds.
+    /// How long an item applies after a list reported the change, in milliseconds.
     pub trust_ms: u64,
-    /// The part of the boxes that rumours may take out at one time; one box at the least.
+    /// Share of the servers that gossip may take out of service at a time; at least one server.
     pub share: f64,
-    /// How often the node that its list told tells it.
+    /// Number of times that the originating node sends an item.
     pub tells: u32,
 }
 
@@ -47,187 +50,205 @@
     }
 }
 
-/// A rumour: a box's process wants nothing new.
+/// A report that a server process takes no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GossipItem {
-    /// The box, by its [`crate::ServerRecord::hash`].
-    pub of: u64,
-    /// Which process: when it started.
+    /// The server's [`crate::ServerRecord::hash`].
+    pub server_hash: u64,
+    /// Start time of the process, which identifies it.
     pub up_since_ms: u64,
-    /// When a list told it.
-    pub told_ms: u64,
+    /// When the originator's list reported the change.
+    pub announced_ms: u64,
     /// Draining or gone.
     pub phase: Phase,
-    /// How often it was told on.
+    /// Number of times the item has been forwarded.
     pub hops: u8,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
-    rumour: GossipItem,
-    /// Heard from another node (and then when), not from the own list.
-    heard: Option<u64>,
+struct Entry {
+    item: GossipItem,
+    /// When it was received from another node; `None` if this node's own list reported the change.
+    received_at: Option<u64>,
+    /// Number of copies received.
     copies: u32,
-    tells_left: u32,
-    next_tell: u64,
-    /// It counts until then, and is remembered for as long again.
-    ends: u64,
+    /// Number of transmissions still to be made.
+    sends_left: u32,
+    next_send_at: u64,
+    /// End of the item's effect. It is kept for another trust period, so that it cannot be renewed.
+    expires_at: u64,
 }
 
-/// The rumours that a node holds.
+/// The gossip items that a node keeps.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     settings: Settings,
-    held: BTreeMap<u64, Held>,
-    /// State of the pauses' chance.
-    chance: u64,
+    /// By server hash.
+    entries: BTreeMap<u64, Entry>,
+    /// State of the generator for random delays.
+    rng_state: u64,
 }
 
 impl Gossip {
-    /// None yet.
+    /// Creates an empty set of items.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Gossip { settings, held: BTreeMap::new(), chance: seed | 1 }
+        Gossip { settings, entries: BTreeMap::new(), rng_state: seed | 1 }
     }
 
-    fn pause(&mut self) -> u64 {
-        // Chance only spreads tellings in time: any generator does (xorshift64, Marsaglia 2003).
-        self.chance ^= self.chance << 13;
-        self.chance ^= self.chance >> 7;
-        self.chance ^= self.chance << 17;
-        PAUSE_MS.0 + self.chance % (PAUSE_MS.1 - PAUSE_MS.0)
+    fn forward_delay(&mut self) -> u64 {
+        // Randomness only spreads transmissions over time, so any generator will do (xorshift64, Marsaglia
+        // 2003).
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        MIN_FORWARD_DELAY_MS + self.rng_state % (MAX_FORWARD_DELAY_MS - MIN_FORWARD_DELAY_MS)
     }
 
-    fn forget(&mut self, now: u64) {
+    fn prune(&mut self, now: u64) {
         let trust = self.settings.trust_ms;
-        self.held.retain(|_, h| now < h.ends + trust || h.tells_left > 0);
-        while self.held.len() > MOST {
-            let oldest = self.held.iter().min_by_key(|(_, h)| h.ends).map(|(of, _)| *of);
-            oldest.and_then(|of| self.held.remove(&of));
+        self.entries.retain(|_, entry| now < entry.expires_at + trust || entry.sends_left > 0);
+        while self.entries.len() > MAX_ITEMS {
+            let oldest =
+                self.entries.iter().min_by_key(|(_, entry)| entry.expires_at).map(|(server, _)| *server);
+            oldest.and_then(|server| self.entries.remove(&server));
         }
     }
 
-    /// The own list has told that a box drains or is gone.
-    pub fn told(&mut self, now: u64, of: u64, up_since_ms: u64, phase: Phase) {
-        self.forget(now);
-        if let Some(held) = self.held.get_mut(&of).filter(|h| h.rumour.up_since_ms >= up_since_ms) {
-            // Others have told it already, or it drained before it went.
-            held.heard = held.heard.filter(|_| held.rumour.up_since_ms > up_since_ms);
+    /// Takes from this node's own list that a server process is draining or gone, to announce it to other
+    /// nodes.
+    pub fn announce(&mut self, now: u64, server_hash: u64, up_since_ms: u64, phase: Phase) {
+        self.prune(now);
+        if let Some(entry) =
+            self.entries.get_mut(&server_hash).filter(|entry| entry.item.up_since_ms >= up_since_ms)
+        {
+            // Another node reported it first, or it was announced when the server began to drain. The own
+            // list now confirms it, unless the known item is about a later process.
+            entry.received_at = entry.received_at.filter(|_| entry.item.up_since_ms > up_since_ms);
             return;
         }
-        let rumour = GossipItem { of, up_since_ms, told_ms: now, phase, hops: 0 };
-        let (tells_left, ends) = (self.settings.tells, now + self.settings.trust_ms);
-        self.held.insert(of, Held { rumour, heard: None, copies: 0, tells_left, next_tell: now, ends });
+        let item = GossipItem { server_hash, up_since_ms, announced_ms: now, phase, hops: 0 };
+        let (sends_left, expires_at) = (self.settings.tells, now + self.settings.trust_ms);
+        self.entries.insert(
+            server_hash,
+            Entry { item, received_at: None, copies: 0, sends_left, next_send_at: now, expires_at },
+        );
     }
 
-    /// The own list has changed a box to ready: what was told of it before is over.
-    pub fn ready(&mut self, of: u64) {
-        if let Some(held) = self.held.get_mut(&of) {
-            (held.ends, held.tells_left) = (0, 0);
+    /// Ends the item about a server that this node's own list reports as ready again.
+    pub fn mark_ready(&mut self, server_hash: u64) {
+        if let Some(entry) = self.entries.get_mut(&server_hash) {
+            (entry.expires_at, entry.sends_left) = (0, 0);
         }
     }
 
-    /// Whether bytes from another node are rumours.
+    /// Returns whether a message from another node is a gossip message.
     pub fn is_message(bytes: &[u8]) -> bool {
         bytes.starts_with(&MAGIC)
     }
 
-    /// Takes what another node tells; gives the number of rumours that are new here. What can't be read is passed over.
-    pub fn heard(&mut self, now: u64, bytes: &[u8]) -> usize {
-        self.forget(now);
-        let Some(entries) = bytes.strip_prefix(&MAGIC) else { return 0 };
-        if entries.len() % ENTRY != 0 || bytes.len() > MOST_BYTES {
+    /// Processes a message from another node and returns the number of new items. Malformed data is ignored.
+    pub fn receive(&mut self, now: u64, bytes: &[u8]) -> usize {
+        self.prune(now);
+        let Some(items) = bytes.strip_prefix(&MAGIC) else { return 0 };
+        if items.len() % ITEM_BYTES != 0 || bytes.len() > MAX_MESSAGE_BYTES {
             return 0;
         }
-        entries.chunks_exact(ENTRY).filter_map(decode).filter(|rumour| self.take(now, *rumour)).count()
+        items.chunks_exact(ITEM_BYTES).filter_map(decode).filter(|item| self.accept(now, *item)).count()
     }
 
-    fn take(&mut self, now: u64, rumour: GossipItem) -> bool {
-        let old = now.saturating_sub(rumour.told_ms) >= self.settings.trust_ms;
-        if old || rumour.told_ms > now + AHEAD_MS || rumour.hops > MOST_HOPS {
+    fn accept(&mut self, now: u64, item: GossipItem) -> bool {
+        let expired = now.saturating_sub(item.announced_ms) >= self.settings.trust_ms;
+        if expired || item.announced_ms > now + MAX_CLOCK_SKEW_MS || item.hops > MAX_HOPS {
             return false;
         }
-        if let Some(held) =
-            self.held.get_mut(&rumour.of).filter(|h| h.rumour.up_since_ms >= rumour.up_since_ms)
+        if let Some(entry) =
+            self.entries.get_mut(&item.server_hash).filter(|entry| entry.item.up_since_ms >= item.up_since_ms)
         {
-            // The same again, however it is told, lasts no longer.
-            held.copies = held.copies.saturating_add(1);
+            // Another copy does not extend the lifetime, whatever its time or phase.
+            entry.copies = entry.copies.saturating_add(1);
             return false;
         }
-        let next_tell = now + self.pause();
-        let tells_left = u32::from(rumour.hops < MOST_HOPS);
-        let ends = rumour.told_ms.min(now) + self.settings.trust_ms;
-        let held = Held { rumour, heard: Some(now), copies: 1, tells_left, next_tell, ends };
-        self.held.insert(rumour.of, held);
+        let next_send_at = now + self.forward_delay();
+        let sends_left = u32::from(item.hops < MAX_HOPS);
+        let expires_at = item.announced_ms.min(now) + self.settings.trust_ms;
+        let entry = Entry { item, received_at: Some(now), copies: 1, sends_left, next_send_at, expires_at };
+        self.entries.insert(item.server_hash, entry);
         true
     }
 
-    /// The message to be sent to all others now, if there is one.
-    pub fn tell(&mut self, now: u64) -> Option<Vec<u8>> {
-        self.forget(now);
+    /// Returns the message to send to all other nodes now, if any.
+    pub fn next_message(&mut self, now: u64) -> Option<Vec<u8>> {
+        self.prune(now);
         let mut message = MAGIC.to_vec();
-        for held in self.held.values_mut().filter(|h| h.tells_left > 0 && h.next_tell <= now) {
-            if held.heard.is_some() && held.copies >= ENOUGH {
-                held.tells_left = 0;
+        for entry in
+            self.entries.values_mut().filter(|entry| entry.sends_left > 0 && entry.next_send_at <= now)
+        {
+            if entry.received_at.is_some() && entry.copies >= REDUNDANCY_LIMIT {
+                entry.sends_left = 0;
                 continue;
             }
-            if message.len() + ENTRY > MOST_BYTES {
+            if message.len() + ITEM_BYTES > MAX_MESSAGE_BYTES {
                 break;
             }
-            held.tells_left -= 1;
-            held.next_tell = now + TELL_MS;
-            let told_on =
-                GossipItem { hops: held.rumour.hops + u8::from(held.heard.is_some()), ..held.rumour };
-            encode(&told_on, &mut message);
+            entry.sends_left -= 1;
+            entry.next_send_at = now + SEND_INTERVAL_MS;
+            let outgoing =
+                GossipItem { hops: entry.item.hops + u8::from(entry.received_at.is_some()), ..entry.item };
+            encode(&outgoing, &mut message);
         }
         (message.len() > MAGIC.len()).then_some(message)
     }
 
-    /// When there is something to tell next.
-    pub fn due(&self) -> Option<u64> {
-        self.held.values().filter(|h| h.tells_left > 0).map(|h| h.next_tell).min()
+    /// Returns when the next transmission is due.
+    pub fn next_send_due(&self) -> Option<u64> {
+        self.entries.values().filter(|entry| entry.sends_left > 0).map(|entry| entry.next_send_at).min()
     }
 
-    /// When the next rumour ends.
-    pub fn ends(&self, now: u64) -> Option<u64> {
-        self.held.values().filter(|h| h.heard.is_some() && h.ends > now).map(|h| h.ends).min()
+    /// Returns when the next item received from another node expires.
+    pub fn next_expiry(&self, now: u64) -> Option<u64> {
+        self.entries
+            .values()
+            .filter(|entry| entry.received_at.is_some() && entry.expires_at > now)
+            .map(|entry| entry.expires_at)
+            .min()
     }
 
-    /// Since when others say of a box's process that it wants nothing new.
-    pub fn of(&self, now: u64, of: u64, up_since_ms: u64) -> Option<u64> {
-        let held = self.held.get(&of)?;
-        held.heard.filter(|_| now < held.ends && held.rumour.up_since_ms >= up_since_ms)
+    /// Returns when another node's report about a server process arrived, if one applies now.
+    pub fn reported_at(&self, now: u64, server_hash: u64, up_since_ms: u64) -> Option<u64> {
+        let entry = self.entries.get(&server_hash)?;
+        entry.received_at.filter(|_| now < entry.expires_at && entry.item.up_since_ms >= up_since_ms)
     }
 
-    /// How many are kept.
+    /// Returns the number of items kept.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.entries.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no items are kept.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.entries.is_empty()
     }
 }
 
-fn encode(r: &GossipItem, into: &mut Vec<u8>) {
-    into.extend_from_slice(&r.of.to_be_bytes());
-    into.extend_from_slice(&r.up_since_ms.to_be_bytes());
-    into.extend_from_slice(&r.told_ms.to_be_bytes());
-    into.push(u8::from(r.phase == Phase::Gone));
-    into.push(r.hops);
+fn encode(item: &GossipItem, message: &mut Vec<u8>) {
+    message.extend_from_slice(&item.server_hash.to_be_bytes());
+    message.extend_from_slice(&item.up_since_ms.to_be_bytes());
+    message.extend_from_slice(&item.announced_ms.to_be_bytes());
+    message.push(u8::from(item.phase == Phase::Gone));
+    message.push(item.hops);
 }
 
 fn decode(bytes: &[u8]) -> Option<GossipItem> {
-    let number = |at: usize| bytes.get(at..at + 8)?.try_into().ok().map(u64::from_be_bytes);
+    let number = |offset: usize| bytes.get(offset..offset + 8)?.try_into().ok().map(u64::from_be_bytes);
     let phase = match bytes.get(24)? {
         0 => Phase::Draining,
         1 => Phase::Gone,
         _ => return None,
     };
     Some(GossipItem {
-        of: number(0)?,
+        server_hash: number(0)?,
         up_since_ms: number(8)?,
-        told_ms: number(16)?,
+        announced_ms: number(16)?,
         phase,
         hops: *bytes.get(25)?,
     })
--- a/crates/mothpier-membership/src/gossip/tests.rs
+++ b/crates/mothpier-membership/src/gossip/tests.rs
@@ -2,107 +2,116 @@
 
 const NOW: u64 = 1_000_000_000;
 
-fn rumours() -> Gossip {
+fn gossip() -> Gossip {
     Gossip::new(Settings { trust_ms: 10_000, share: 0.25, tells: 3 }, 7)
 }
 
 #[test]
-fn a_rumour_is_told_a_few_times_and_then_no_more() {
-    let mut a = rumours();
-    a.told(NOW, 5, 100, Phase::Draining);
-    a.told(NOW + 1, 5, 100, Phase::Gone);
-    let (mut told, mut at) = (Vec::new(), NOW);
-    while let Some(due) = a.due() {
+fn an_item_is_sent_a_few_times_and_then_no_more() {
+    let mut origin = gossip();
+    origin.announce(NOW, 5, 100, Phase::Draining);
+    origin.announce(NOW + 1, 5, 100, Phase::Gone);
+    let (mut sent, mut at) = (Vec::new(), NOW);
+    while let Some(due) = origin.next_send_due() {
         at = at.max(due);
-        told.extend(a.tell(at).map(|m| (at, m)));
+        sent.extend(origin.next_message(at).map(|message| (at, message)));
     }
-    assert_eq!(told.len(), 3);
-    assert!(told.iter().all(|(_, m)| m.len() == MAGIC.len() + ENTRY));
-    // It is its own list's word, so it is no rumour here; kept for twice the trust, then forgotten.
-    assert_eq!((a.of(NOW, 5, 100), a.len()), (None, 1));
-    assert_eq!((a.tell(NOW + 20_001), a.len()), (None, 0));
+    assert_eq!(sent.len(), 3);
+    assert!(sent.iter().all(|(_, message)| message.len() == MAGIC.len() + ITEM_BYTES));
+    // Only the own list reported it, no other node. The entry is kept for twice the trust period.
+    assert_eq!((origin.reported_at(NOW, 5, 100), origin.len()), (None, 1));
+    assert_eq!((origin.next_message(NOW + 20_001), origin.len()), (None, 0));
 }
 
 #[test]
-fn who_hears_it_tells_it_on_once_unless_enough_others_did() {
-    let mut from = rumours();
-    from.told(NOW, 5, 100, Phase::Gone);
-    let message = from.tell(NOW).unwrap();
-    let mut b = rumours();
-    assert_eq!(b.heard(NOW + 10, &message), 1);
-    assert_eq!(b.of(NOW + 10, 5, 100), Some(NOW + 10));
-    let due = b.due().unwrap();
-    assert!((NOW + 10 + PAUSE_MS.0..NOW + 10 + PAUSE_MS.1).contains(&due));
-    let on = b.tell(due).unwrap();
-    assert_eq!((b.due(), b.tell(due + 9_000)), (None, None));
-    // The last hop is believed and not told on.
-    let mut c = rumours();
-    assert_eq!((c.heard(due, &on), c.due()), (1, None));
-    let mut still = rumours();
-    for n in 0..ENOUGH {
-        assert_eq!(still.heard(NOW + 10, &message), usize::from(n == 0));
+fn a_received_item_is_forwarded_once_unless_enough_copies_arrive() {
+    let mut origin = gossip();
+    origin.announce(NOW, 5, 100, Phase::Gone);
+    let message = origin.next_message(NOW).unwrap();
+    let mut receiver = gossip();
+    assert_eq!(receiver.receive(NOW + 10, &message), 1);
+    assert_eq!(receiver.reported_at(NOW + 10, 5, 100), Some(NOW + 10));
+    let due = receiver.next_send_due().unwrap();
+    assert!((NOW + 10 + MIN_FORWARD_DELAY_MS..NOW + 10 + MAX_FORWARD_DELAY_MS).contains(&due));
+    let forwarded = receiver.next_message(due).unwrap();
+    assert_eq!((receiver.next_send_due(), receiver.next_message(due + 9_000)), (None, None));
+    // An item at the last hop takes effect and is not forwarded.
+    let mut last = gossip();
+    assert_eq!((last.receive(due, &forwarded), last.next_send_due()), (1, None));
+    let mut suppressed = gossip();
+    for n in 0..REDUNDANCY_LIMIT {
+        assert_eq!(suppressed.receive(NOW + 10, &message), usize::from(n == 0));
     }
-    assert_eq!(still.due().and_then(|due| still.tell(due)), None);
+    assert_eq!(suppressed.next_send_due().and_then(|due| suppressed.next_message(due)), None);
 }
 
 #[test]
-fn it_ends_by_itself_and_can_not_be_renewed() {
-    let mut r = rumours();
-    let tell = |told_ms, up_since_ms| {
+fn an_item_expires_and_cannot_be_renewed() {
+    let mut gossip = gossip();
+    let message_with = |announced_ms, up_since_ms| {
         let mut message = MAGIC.to_vec();
-        encode(&GossipItem { of: 5, up_since_ms, told_ms, phase: Phase::Gone, hops: 0 }, &mut message);
+        encode(
+            &GossipItem { server_hash: 5, up_since_ms, announced_ms, phase: Phase::Gone, hops: 0 },
+            &mut message,
+        );
         message
     };
-    assert_eq!(r.heard(NOW, &tell(NOW - 4_000, 100)), 1);
-    assert_eq!(r.ends(NOW), Some(NOW + 6_000));
-    // A liar who goes on and on: out for less than half of the time.
-    let mut out = 0;
+    assert_eq!(gossip.receive(NOW, &message_with(NOW - 4_000, 100)), 1);
+    assert_eq!(gossip.next_expiry(NOW), Some(NOW + 6_000));
+    // A peer that repeats a false report all the time has an effect for about half of the time at most.
+    let mut effective = 0;
     for at in (NOW..NOW + 400_000).step_by(100) {
-        r.heard(at, &tell(at, 100));
-        out += u64::from(r.of(at, 5, 100).is_some());
+        gossip.receive(at, &message_with(at, 100));
+        effective += u64::from(gossip.reported_at(at, 5, 100).is_some());
     }
-    assert!(out * 100 <= 200_000 + 10_000, "{out}");
-    // An older process than the one that runs is not meant; a later start than one knows is.
-    assert_eq!((r.of(NOW, 5, 101), r.heard(NOW + 400_000, &tell(NOW + 400_000, 200))), (None, 1));
-    assert!(r.of(NOW + 400_000, 5, 150).is_some());
-    r.ready(5);
-    assert_eq!(r.of(NOW + 400_000, 5, 150), None);
+    assert!(effective * 100 <= 200_000 + 10_000, "{effective}");
+    // An item applies to the process that it names and to earlier ones, not to one that started later.
+    assert_eq!(
+        (gossip.reported_at(NOW, 5, 101), gossip.receive(NOW + 400_000, &message_with(NOW + 400_000, 200))),
+        (None, 1)
+    );
+    assert!(gossip.reported_at(NOW + 400_000, 5, 150).is_some());
+    gossip.mark_ready(5);
+    assert_eq!(gossip.reported_at(NOW + 400_000, 5, 150), None);
 }
 
-/// A machine whose clock has jumped by an hour, either way, is not believed, and believes nobody.
+/// A node whose clock is wrong by an hour, either way, exchanges no items with other nodes.
 #[test]
-fn clocks_that_are_far_apart_cost_the_rumour_and_nothing_else() {
-    let mut told = rumours();
-    told.told(NOW, 5, 100, Phase::Gone);
-    let message = told.tell(NOW).unwrap();
-    for (now, believed) in
+fn items_are_rejected_between_nodes_whose_clocks_are_far_apart() {
+    let mut origin = gossip();
+    origin.announce(NOW, 5, 100, Phase::Gone);
+    let message = origin.next_message(NOW).unwrap();
+    for (now, accepted) in
         [(NOW - 3_600_000, 0), (NOW + 3_600_000, 0), (NOW - 2_001, 0), (NOW - 2_000, 1), (NOW + 9_999, 1)]
     {
-        let mut hears = rumours();
-        assert_eq!(hears.heard(now, &message), believed, "{now}");
-        // One that runs behind holds it no longer than the trust by its own clock.
-        assert!(hears.ends(now).is_none_or(|ends| ends <= now + 10_000));
+        let mut receiver = gossip();
+        assert_eq!(receiver.receive(now, &message), accepted, "{now}");
+        // A node whose clock is behind keeps an item no longer than the trust period by its own clock.
+        assert!(receiver.next_expiry(now).is_none_or(|expiry| expiry <= now + 10_000));
     }
 }
 
 #[test]
-fn what_is_no_rumour_changes_nothing() {
-    let mut r = rumours();
+fn malformed_messages_and_items_out_of_bounds_are_ignored() {
+    let mut gossip = gossip();
     let mut good = MAGIC.to_vec();
-    encode(&GossipItem { of: 5, up_since_ms: 0, told_ms: NOW, phase: Phase::Gone, hops: 0 }, &mut good);
+    encode(
+        &GossipItem { server_hash: 5, up_since_ms: 0, announced_ms: NOW, phase: Phase::Gone, hops: 0 },
+        &mut good,
+    );
     let (mut phase, mut hops, mut old, mut ahead) = (good.clone(), good.clone(), good.clone(), good.clone());
     phase[4 + 24] = 2;
     hops[4 + 25] = 2;
     old[4 + 16..4 + 24].copy_from_slice(&(NOW - 10_000).to_be_bytes());
     ahead[4 + 16..4 + 24].copy_from_slice(&(NOW + 2_001).to_be_bytes());
-    let long = [good.clone(), vec![0; ENTRY * 10]].concat();
+    let long = [good.clone(), vec![0; ITEM_BYTES * 10]].concat();
     for bad in [&good[..good.len() - 1], &phase, &hops, &old, &ahead, &long, b"MPW2", b""] {
-        assert_eq!((r.heard(NOW, bad), r.len()), (0, 0), "{bad:?}");
+        assert_eq!((gossip.receive(NOW, bad), gossip.len()), (0, 0), "{bad:?}");
     }
-    // Never more than so many, whatever comes.
-    for of in 0..3_000u64 {
-        good[4..12].copy_from_slice(&of.to_be_bytes());
-        r.heard(NOW, &good);
+    // The number of items is bounded.
+    for server_hash in 0..3_000u64 {
+        good[4..12].copy_from_slice(&server_hash.to_be_bytes());
+        gossip.receive(NOW, &good);
     }
-    assert!(r.len() <= MOST + 1);
+    assert!(gossip.len() <= MAX_ITEMS + 1);
 }
--- a/crates/mothpier-membership/src/lib.rs
+++ b/crates/mothpier-membership/src/lib.rs
@@ -1,11 +1,14 @@
-//! Which boxes there are, by several sources that may disagree. Pure: words and times go in, changes of one view come out.
+//! Merges several sources of membership, which may disagree, into one view of the cache servers. Performs no
+//! I/O: the caller passes in reports and times, and gets changes of the view back.
 //!
-//! The list has the first word on a box that it names, and the last on one that it took away: draining or gone wins for as
-//! long as that word may be trusted. Other sources add boxes that the list does not have, and can only make a node more
-//! careful about those that it has. No source alone empties the view. [`Sources`] has the rule; [`dns_servers`] what is
-//! held of DNS, [`gossip`] what nodes tell each other.
+//! The server list from discovery is authoritative for the servers that it names. Once it has drained or
+//! removed a server, this overrides all other sources for as long as the information may be trusted. The
+//! other sources add servers that the list does not name, and can only make a node more cautious about those
+//! that it does name. No source other than the list can empty the view. [`Sources`] implements the merge
+//! rules, [`dns_servers`] keeps the servers that DNS has named, and [`gossip`] handles the reports that nodes
+//! send each other.
 //!
-//! Times are Unix milliseconds of a clock that never goes back.
+//! Times are Unix milliseconds from a clock that never goes backwards.
 
 pub mod admin_drain;
 pub mod dns_servers;
--- a/crates/mothpier-membership/src/server_record.rs
+++ b/crates/mothpier-membership/src/server_record.rs
@@ -1,22 +1,22 @@
-//! A box as a source tells of it.
+//! A server as reported by a membership source.
 
 use std::net::{IpAddr, SocketAddr};
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Whether a box takes requests.
+/// Whether a server takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It does.
+    /// Takes requests.
     Ready,
-    /// It ends what it has and wants nothing new.
+    /// Finishes the requests in progress and takes no new ones.
     Draining,
-    /// It is no more.
+    /// No longer exists.
     Gone,
 }
 
 impl Phase {
-    /// Its name in the list and in what people read.
+    /// Returns the name used in the server list and shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Ready => "ready",
@@ -26,12 +26,12 @@
     }
 }
 
-/// A line of the list, or one made of what another source said.
+/// An entry of the server list, or one derived from another source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerRecord {
-    /// The same at every node.
+    /// Server id, the same on every node.
     pub id: String,
-    /// Address and port, as it came.
+    /// Address and port as text, as the source gave it.
     pub host_port: String,
     /// Zone.
     pub locality: String,
@@ -39,30 +39,30 @@
     pub flavor: String,
     /// Cell.
     pub cell: u16,
-    /// A figure to compare with other boxes'.
+    /// Capacity relative to other servers.
     pub size: Option<f32>,
-    /// When its process started, Unix milliseconds, 0 for long ago.
+    /// Start time of the process, in Unix milliseconds; 0 if long ago.
     pub up_since_ms: u64,
     /// Whether it takes requests.
     pub phase: Phase,
 }
 
 impl ServerRecord {
-    /// Where it is; what is no address is none. An IPv4 address in the form of IPv6 is the same box.
+    /// Returns the address in canonical form, or `None` if `host_port` is not an address.
     pub fn address(&self) -> Option<SocketAddr> {
         self.host_port.parse().ok().map(canonical)
     }
 
-    /// A short name for it, the same at every node.
+    /// Returns a hash of the id, the same on every node.
     pub fn hash(&self) -> u64 {
         xxh3_64(self.id.as_bytes())
     }
 }
 
-/// One address in one spelling.
-pub fn canonical(at: SocketAddr) -> SocketAddr {
-    match at.ip().to_canonical() {
-        ip @ IpAddr::V4(_) => SocketAddr::new(ip, at.port()),
-        IpAddr::V6(_) => at,
+/// Converts an IPv4-mapped IPv6 address to IPv4, so that equal addresses compare equal.
+pub fn canonical(address: SocketAddr) -> SocketAddr {
+    match address.ip().to_canonical() {
+        ip @ IpAddr::V4(_) => SocketAddr::new(ip, address.port()),
+        IpAddr::V6(_) => address,
     }
 }
--- a/crates/mothpier-membership/src/sources.rs
+++ b/crates/mothpier-membership/src/sources.rs
@@ -1,16 +1,16 @@
-//! The rule by which the sources become one view.
+//! Rules by which the membership sources are merged into one view.
 //!
-//! | who says what of a box | what it is |
+//! | reported by | resulting state of the server |
 //! | --- | --- |
-//! | the list: ready | ready, whatever DNS says; draining while a rumour of this process counts |
-//! | the list: draining | draining, whoever else names it |
-//! | the list: gone, or a whole list without it | gone; out for [`Settings::gone_ms`] at its address, whoever else names it |
-//! | DNS or the fixed set alone | ready, cold since it was first named here, under an id made of its address |
-//! | DNS no longer, and few vanish | gone |
-//! | DNS no longer, and many vanish at once or all | held, until further answers say the same for long enough |
-//! | nobody any more, and no box is left | what was is kept, unless the list took it away |
+//! | list: ready | ready, whatever DNS reports; draining while a gossip item about this process applies |
+//! | list: draining | draining, whatever the other sources report |
+//! | list: gone, or complete without it | gone; its address stays excluded for [`Settings::gone_ms`] |
+//! | DNS or the fixed set only | ready, cold since first named here, with an id derived from its address |
+//! | DNS no longer; few servers lost | gone |
+//! | DNS no longer; many or all lost at once | kept until further answers confirm the loss for long enough |
+//! | no source, and no ready server is left | kept if it was in the view, unless the list removed it |
 //!
-//! The list alone may empty the view: its word that boxes drain or are gone binds.
+//! Only the list can empty the view: a drain or removal that it reports always takes effect.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,12 +21,14 @@
 use crate::gossip::{self, Gossip};
 use crate::server_record::{Phase, ServerRecord, canonical};
 
-/// Addresses that the list took away and that are remembered.
-const MOST_TOMBS: usize = 4_096;
-/// A weight counts for so much of the mean of its group at the least and the most.
-const WEIGHTS: (f32, f32) = (0.25, 4.0);
+/// Maximum number of remembered addresses that the list removed.
+const MAX_TOMBSTONES: usize = 4_096;
+/// Minimum size derived from a DNS weight, relative to the mean weight of its priority.
+const MIN_RELATIVE_WEIGHT: f32 = 0.25;
+/// Maximum size derived from a DNS weight, relative to the mean weight of its priority.
+const MAX_RELATIVE_WEIGHT: f32 = 4.0;
 
-/// What a box looks like that only its address is known of.
+/// Properties assumed for a server of which only the address is known.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerTemplate {
     /// Zone.
@@ -37,20 +39,20 @@
     pub cell: u16,
 }
 
-/// How sources are dealt with.
+/// Settings of the merge.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How long the list's word that a box is gone counts against other sources, milliseconds.
+    /// How long a removal by the list overrides the other sources, in milliseconds.
     pub gone_ms: u64,
-    /// When a DNS answer that shrinks is not obeyed at once.
+    /// When the loss of servers from DNS must be confirmed.
     pub doubt: ShrinkGuard,
-    /// Word of mouth between nodes.
+    /// Gossip between nodes; `None` if it is off.
     pub rumours: Option<gossip::Settings>,
-    /// What is taken of a box that the list does not name.
+    /// Properties of servers that the list does not name.
     pub like: ServerTemplate,
-    /// The machine kind of the origin, which is no box.
+    /// Machine kind of the origin, which is not a cache server.
     pub origin: Option<String>,
-    /// Boxes that are always named.
+    /// Statically configured servers.
     pub fixed: Vec<SocketAddr>,
 }
 
@@ -67,343 +69,397 @@
     }
 }
 
-/// Why a box is in the view as it is, or out of it.
+/// Reason for the state of a server, in the view or excluded from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateReason {
     /// The list names it.
     List,
-    /// Other nodes say that its process drains or is gone.
-    Rumour,
-    /// Only DNS names it: it counts as cold.
-    Names,
-    /// DNS named it and does so no longer, which is doubted.
-    Doubted,
+    /// Other nodes report that its process is draining or gone.
+    PeerReport,
+    /// Only DNS names it; it counts as cold.
+    Dns,
+    /// DNS no longer names it, which is not confirmed yet.
+    RemovalPending,
     /// Only the fixed set names it.
     Fixed,
-    /// Nothing else is left.
+    /// Kept because no other ready server is left.
     LastResort,
-    /// Out: the list took it away; others name it still.
-    TakenAway,
-    /// Out: DNS has boxes of a lower priority.
+    /// Excluded: the list removed it, though other sources still name it.
+    RemovedByList,
+    /// Excluded: DNS has usable servers with a lower priority value.
     Standby,
 }
 
 impl StateReason {
-    /// In a word.
+    /// Returns the name shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             StateReason::List => "list",
-            StateReason::Rumour => "rumour",
-            StateReason::Names => "dns",
-            StateReason::Doubted => "dns-doubted",
+            StateReason::PeerReport => "rumour",
+            StateReason::Dns => "dns",
+            StateReason::RemovalPending => "dns-doubted",
             StateReason::Fixed => "fixed",
             StateReason::LastResort => "last-resort",
-            StateReason::TakenAway => "taken-away",
+            StateReason::RemovedByList => "taken-away",
             StateReason::Standby => "standby",
         }
     }
 }
 
-/// A box as people are told of it.
+/// State of a server as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerReport {
-    /// Its id.
+    /// Server id.
     pub id: String,
-    /// Where it is.
-    pub at: String,
+    /// Address and port.
+    pub address: String,
     /// Whether it takes requests.
     pub phase: Phase,
-    /// Why.
-    pub why: StateReason,
+    /// Reason for this state.
+    pub reason: StateReason,
 }
 
-/// What has changed in the view.
+/// Changes of the view.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
-    /// Lines that are new or other than before; those that left are [`Phase::Gone`].
+    /// New and changed records; those of servers that left the view have [`Phase::Gone`].
     pub lines: Vec<ServerRecord>,
-    /// Boxes that have another id now: the old one, the new one. Same address, same process.
+    /// Servers whose id changed, as (old id, new id). Address and process are the same.
     pub renamed: Vec<(String, String)>,
 }
 
-/// The sources of one node.
+/// The membership sources of one node, merged into one view.
 #[derive(Clone, Debug)]
 pub struct Sources {
     settings: Settings,
     list: BTreeMap<String, ServerRecord>,
-    /// Whether the list could be reached last.
-    list_out: bool,
-    /// Addresses that the list took away, and until when that counts.
-    tombs: BTreeMap<SocketAddr, u64>,
-    names: DnsServers,
-    rumours: Option<Gossip>,
+    /// Whether the last attempt to reach the list failed.
+    list_unreachable: bool,
+    /// Addresses that the list removed, and until when this overrides the other sources.
+    tombstones: BTreeMap<SocketAddr, u64>,
+    dns: DnsServers,
+    gossip: Option<Gossip>,
     fixed_since: u64,
-    shown: BTreeMap<String, ServerRecord>,
-    listed: Vec<ServerReport>,
+    last_view: BTreeMap<String, ServerRecord>,
+    reports: Vec<ServerReport>,
 }
 
 impl Sources {
-    /// Sources that have said nothing yet.
+    /// Creates the sources before any of them has reported. `seed` seeds the random delays of gossip.
     pub fn new(settings: Settings, seed: u64, now: u64) -> Self {
         Sources {
             list: BTreeMap::new(),
-            list_out: false,
-            tombs: BTreeMap::new(),
-            names: DnsServers::new(settings.doubt),
-            rumours: settings.rumours.map(|r| Gossip::new(r, seed)),
+            list_unreachable: false,
+            tombstones: BTreeMap::new(),
+            dns: DnsServers::new(settings.doubt),
+            gossip: settings.rumours.map(|settings| Gossip::new(settings, seed)),
             fixed_since: now,
-            shown: BTreeMap::new(),
-            listed: Vec::new(),
+            last_view: BTreeMap::new(),
+            reports: Vec::new(),
             settings,
         }
     }
 
-    /// Takes a list, whole or changes only, in the order of the list's own revisions.
-    pub fn list(&mut self, now: u64, whole: bool, lines: Vec<ServerRecord>) {
-        self.list_out = false;
+    /// Takes a list, either complete (`whole`) or changes only. Must be called in the order of the list's
+    /// revisions.
+    pub fn list(&mut self, now: u64, whole: bool, records: Vec<ServerRecord>) {
+        self.list_unreachable = false;
         if whole {
-            let named: BTreeSet<&str> = lines.iter().map(|l| l.id.as_str()).collect();
+            let named: BTreeSet<&str> = records.iter().map(|record| record.id.as_str()).collect();
             let gone: Vec<ServerRecord> =
-                self.list.values().filter(|l| !named.contains(l.id.as_str())).cloned().collect();
-            for line in gone {
-                self.line(now, whole, ServerRecord { phase: Phase::Gone, ..line });
+                self.list.values().filter(|record| !named.contains(record.id.as_str())).cloned().collect();
+            for record in gone {
+                self.apply_record(now, whole, ServerRecord { phase: Phase::Gone, ..record });
             }
         }
-        // What goes before what comes: a new box at the address of one that has gone stays.
+        // Removals come first, so that a new server at the address of a removed one is kept.
         let (gone, here): (Vec<ServerRecord>, Vec<ServerRecord>) =
-            lines.into_iter().partition(|l| l.phase == Phase::Gone);
-        gone.into_iter().chain(here).for_each(|line| self.line(now, whole, line));
-        while self.tombs.len() > MOST_TOMBS {
-            let first = self.tombs.iter().min_by_key(|(_, until)| **until).map(|(at, _)| *at);
-            first.and_then(|at| self.tombs.remove(&at));
+            records.into_iter().partition(|record| record.phase == Phase::Gone);
+        gone.into_iter().chain(here).for_each(|record| self.apply_record(now, whole, record));
+        while self.tombstones.len() > MAX_TOMBSTONES {
+            let oldest = self
+                .tombstones
+                .iter()
+                .min_by_key(|(_, expires_at)| **expires_at)
+                .map(|(address, _)| *address);
+            oldest.and_then(|address| self.tombstones.remove(&address));
         }
     }
 
-    fn line(&mut self, now: u64, whole: bool, line: ServerRecord) {
-        let before = self.list.remove(&line.id);
-        let (was_at, is_at) = (before.as_ref().and_then(ServerRecord::address), line.address());
-        let origin = self.is_origin(&line);
-        if line.phase == Phase::Gone {
-            let others = |at: &SocketAddr| self.list.values().any(|l| l.address() == Some(*at));
-            let left: Vec<SocketAddr> = was_at.or(is_at).into_iter().filter(|at| !others(at)).collect();
-            self.tombs.extend(left.into_iter().map(|at| (at, now + self.settings.gone_ms)));
+    fn apply_record(&mut self, now: u64, whole: bool, record: ServerRecord) {
+        let previous = self.list.remove(&record.id);
+        let (old_address, new_address) =
+            (previous.as_ref().and_then(ServerRecord::address), record.address());
+        let is_origin = self.is_origin(&record);
+        if record.phase == Phase::Gone {
+            let in_use =
+                |address: &SocketAddr| self.list.values().any(|other| other.address() == Some(*address));
+            let freed: Vec<SocketAddr> =
+                old_address.or(new_address).into_iter().filter(|address| !in_use(address)).collect();
+            self.tombstones.extend(freed.into_iter().map(|address| (address, now + self.settings.gone_ms)));
         } else {
-            if let Some(at) = was_at.filter(|at| Some(*at) != is_at) {
-                self.tombs.insert(at, now + self.settings.gone_ms);
+            if let Some(old_address) = old_address.filter(|address| Some(*address) != new_address) {
+                self.tombstones.insert(old_address, now + self.settings.gone_ms);
             }
-            is_at.and_then(|at| self.tombs.remove(&at));
+            new_address.and_then(|address| self.tombstones.remove(&address));
         }
-        if let Some(rumours) = self.rumours.as_mut().filter(|_| !origin) {
-            let was_ready = before.as_ref().is_some_and(|b| b.phase == Phase::Ready);
-            let was = before.as_ref().map(|b| b.phase);
-            match line.phase {
-                Phase::Ready if !whole && was != Some(Phase::Ready) => rumours.ready(line.hash()),
+        if let Some(gossip) = self.gossip.as_mut().filter(|_| !is_origin) {
+            let was_ready = previous.as_ref().is_some_and(|previous| previous.phase == Phase::Ready);
+            let old_phase = previous.as_ref().map(|previous| previous.phase);
+            match record.phase {
+                Phase::Ready if !whole && old_phase != Some(Phase::Ready) => gossip.mark_ready(record.hash()),
                 Phase::Ready => {}
-                // The process meant is the one that was known here.
+                // The change is about the process that was known here, or a later one that the record names.
                 phase if was_ready => {
-                    let up = before.as_ref().map_or(0, |b| b.up_since_ms).max(line.up_since_ms);
-                    rumours.told(now, line.hash(), up, phase);
+                    let up_since_ms =
+                        previous.as_ref().map_or(0, |previous| previous.up_since_ms).max(record.up_since_ms);
+                    gossip.announce(now, record.hash(), up_since_ms, phase);
                 }
                 _ => {}
             }
         }
-        if line.phase != Phase::Gone {
-            self.list.insert(line.id.clone(), line);
+        if record.phase != Phase::Gone {
+            self.list.insert(record.id.clone(), record);
         }
     }
 
-    /// The list can't be reached: what it said last holds.
+    /// Records that the list cannot be reached. Its last report remains in force.
     pub fn list_out(&mut self) {
-        self.list_out = true;
+        self.list_unreachable = true;
     }
 
-    /// Takes what DNS says as of now: [`DnsServers::heard`].
-    pub fn names(&mut self, now: u64, word: DnsTrust, named: &[DnsServer], all: bool, answers: u64) {
+    /// Takes the current data from DNS: see [`DnsServers::update`].
+    pub fn names(&mut self, now: u64, trust: DnsTrust, named: &[DnsServer], complete: bool, answers: u64) {
         let named: Vec<DnsServer> =
-            named.iter().map(|n| DnsServer { address: canonical(n.address), ..*n }).collect();
-        self.names.heard(now, word, &named, all, answers);
+            named.iter().map(|server| DnsServer { address: canonical(server.address), ..*server }).collect();
+        self.dns.update(now, trust, &named, complete, answers);
     }
 
-    /// Takes what another node tells; gives whether it was a rumour at all.
+    /// Processes a message from another node. Returns whether it is a gossip message.
     pub fn heard(&mut self, now: u64, bytes: &[u8]) -> bool {
-        if let Some(rumours) = &mut self.rumours {
-            rumours.heard(now, bytes);
+        if let Some(gossip) = &mut self.gossip {
+            gossip.receive(now, bytes);
         }
         Gossip::is_message(bytes)
     }
 
-    /// What is to be told to all other nodes now.
+    /// Returns the message to send to all other nodes now, if any.
     pub fn tell(&mut self, now: u64) -> Option<Vec<u8>> {
-        self.rumours.as_mut()?.tell(now)
+        self.gossip.as_mut()?.next_message(now)
     }
 
-    /// When to look again at the latest, if ever.
+    /// Returns when [`Sources::tell`] or [`Sources::changes`] must be called next, if at all.
     pub fn due(&self, now: u64) -> Option<u64> {
-        let rumours = self.rumours.as_ref();
-        let tomb = self.tombs.values().copied().filter(|until| *until > now).min();
-        let times = [rumours.and_then(Gossip::due), rumours.and_then(|r| r.ends(now)), tomb];
+        let gossip = self.gossip.as_ref();
+        let tombstone_expiry = self.tombstones.values().copied().filter(|expires_at| *expires_at > now).min();
+        let times = [
+            gossip.and_then(Gossip::next_send_due),
+            gossip.and_then(|gossip| gossip.next_expiry(now)),
+            tombstone_expiry,
+        ];
         times.into_iter().flatten().min()
     }
 
-    fn is_origin(&self, line: &ServerRecord) -> bool {
-        self.settings.origin.as_ref().is_some_and(|o| *o == line.flavor)
+    fn is_origin(&self, record: &ServerRecord) -> bool {
+        self.settings.origin.as_ref().is_some_and(|kind| *kind == record.flavor)
     }
 
-    /// What changed since the last call.
+    /// Returns what has changed in the view since the last call.
     pub fn changes(&mut self, now: u64) -> Changes {
-        self.tombs.retain(|_, until| *until > now);
-        let view = self.view(now);
+        self.tombstones.retain(|_, expires_at| *expires_at > now);
+        let view = self.merge(now);
         let mut changes = Changes::default();
-        for (id, line) in &self.shown {
+        for (id, record) in &self.last_view {
             if !view.contains_key(id) {
-                changes.lines.push(ServerRecord { phase: Phase::Gone, ..line.clone() });
-                let at = line.address();
-                let new = view.values().find(|l| at.is_some() && l.address() == at);
-                if let Some(new) = new.filter(|l| !self.shown.contains_key(&l.id) && id.starts_with(MADE)) {
+                changes.lines.push(ServerRecord { phase: Phase::Gone, ..record.clone() });
+                let address = record.address();
+                let new = view.values().find(|candidate| address.is_some() && candidate.address() == address);
+                if let Some(new) = new.filter(|new| {
+                    !self.last_view.contains_key(&new.id) && id.starts_with(SYNTHETIC_ID_PREFIX)
+                }) {
                     changes.renamed.push((id.clone(), new.id.clone()));
                 }
             }
         }
-        changes.lines.extend(view.values().filter(|l| self.shown.get(&l.id) != Some(l)).cloned());
-        self.shown = view;
+        changes
+            .lines
+            .extend(view.values().filter(|record| self.last_view.get(&record.id) != Some(record)).cloned());
+        self.last_view = view;
         changes
     }
 
-    /// The whole view as it was last given.
-    pub fn shown(&self) -> impl Iterator<Item = &ServerRecord> {
-        self.shown.values()
+    /// Returns the view as of the last [`Sources::changes`].
+    pub fn last_view(&self) -> impl Iterator<Item = &ServerRecord> {
+        self.last_view.values()
     }
 
-    fn view(&mut self, now: u64) -> BTreeMap<String, ServerRecord> {
+    fn merge(&mut self, now: u64) -> BTreeMap<String, ServerRecord> {
         let mut view: BTreeMap<String, ServerRecord> = BTreeMap::new();
-        self.listed.clear();
-        let hushed = self.hushed(now);
-        let mut covered = BTreeMap::new();
-        for line in self.list.values() {
-            let rumour = hushed.contains(&line.id);
-            let phase = if rumour { Phase::Draining } else { line.phase };
-            if let Some(at) = line.address() {
-                let ready = covered.entry(at).or_insert(false);
+        self.reports.clear();
+        let drained_by_gossip = self.drained_by_gossip(now);
+        let mut listed = BTreeMap::new();
+        for record in self.list.values() {
+            let peer_report = drained_by_gossip.contains(&record.id);
+            let phase = if peer_report { Phase::Draining } else { record.phase };
+            if let Some(address) = record.address() {
+                let ready = listed.entry(address).or_insert(false);
                 *ready |= phase == Phase::Ready;
             }
-            let why = if rumour { StateReason::Rumour } else { StateReason::List };
-            self.listed.push(ServerReport { id: line.id.clone(), at: line.host_port.clone(), phase, why });
-            view.insert(line.id.clone(), ServerRecord { phase, ..line.clone() });
+            let reason = if peer_report { StateReason::PeerReport } else { StateReason::List };
+            self.reports.push(ServerReport {
+                id: record.id.clone(),
+                address: record.host_port.clone(),
+                phase,
+                reason,
+            });
+            view.insert(record.id.clone(), ServerRecord { phase, ..record.clone() });
         }
-        let first = self.first_priority(&covered);
-        let mean = self.mean_weight(first);
-        let boxes = self.names.boxes().map(|(named, since, doubted)| {
-            let why = if doubted { StateReason::Doubted } else { StateReason::Names };
-            (named, since, why)
+        let active_priority = self.lowest_usable_priority(&listed);
+        let mean = self.mean_weight(active_priority);
+        let from_dns = self.dns.servers().map(|(server, first_named_at, removal_pending)| {
+            let reason = if removal_pending { StateReason::RemovalPending } else { StateReason::Dns };
+            (server, first_named_at, reason)
         });
-        let fixed = self.settings.fixed.iter().map(|at| canonical(*at)).filter(|at| !self.names.has(*at));
+        let fixed = self
+            .settings
+            .fixed
+            .iter()
+            .map(|address| canonical(*address))
+            .filter(|address| !self.dns.contains(*address));
         let fixed = fixed.map(|address| {
-            let named = DnsServer { address, priority: first.unwrap_or(0), weight: mean as u16 };
-            (named, self.fixed_since, StateReason::Fixed)
+            let server = DnsServer { address, priority: active_priority.unwrap_or(0), weight: mean as u16 };
+            (server, self.fixed_since, StateReason::Fixed)
         });
-        for (named, since, why) in boxes.chain(fixed) {
-            if covered.contains_key(&named.address) {
+        for (server, first_named_at, reason) in from_dns.chain(fixed) {
+            if listed.contains_key(&server.address) {
                 continue;
             }
-            let out = if self.tombs.contains_key(&named.address) {
-                Some(StateReason::TakenAway)
+            let exclusion = if self.tombstones.contains_key(&server.address) {
+                Some(StateReason::RemovedByList)
             } else {
-                (Some(named.priority) != first).then_some(StateReason::Standby)
+                (Some(server.priority) != active_priority).then_some(StateReason::Standby)
             };
-            let line = self.made(&named, since, mean);
-            let (at, phase) =
-                (line.host_port.clone(), if out.is_some() { Phase::Gone } else { Phase::Ready });
-            self.listed.push(ServerReport { id: line.id.clone(), at, phase, why: out.unwrap_or(why) });
-            if out.is_none() {
-                view.insert(line.id.clone(), line);
+            let record = self.synthetic_record(&server, first_named_at, mean);
+            let (address, phase) =
+                (record.host_port.clone(), if exclusion.is_some() { Phase::Gone } else { Phase::Ready });
+            self.reports.push(ServerReport {
+                id: record.id.clone(),
+                address,
+                phase,
+                reason: exclusion.unwrap_or(reason),
+            });
+            if exclusion.is_none() {
+                view.insert(record.id.clone(), record);
             }
         }
-        if !view.values().any(|l| l.phase == Phase::Ready && !self.is_origin(l)) {
-            // What was holds, unless the list has spoken of it.
-            let free = |at: SocketAddr| !covered.contains_key(&at) && !self.tombs.contains_key(&at);
-            let was = self.shown.values().filter(|l| l.id.starts_with(MADE) && l.phase == Phase::Ready);
-            let last: Vec<ServerRecord> = was.filter(|l| l.address().is_some_and(free)).cloned().collect();
-            for line in last {
-                let (id, at) = (line.id.clone(), line.host_port.clone());
-                self.listed.push(ServerReport { id, at, phase: Phase::Ready, why: StateReason::LastResort });
-                view.insert(line.id.clone(), line);
+        if !view.values().any(|record| record.phase == Phase::Ready && !self.is_origin(record)) {
+            // Keeps what was there, except for addresses that the list names or has removed.
+            let unlisted = |address: SocketAddr| {
+                !listed.contains_key(&address) && !self.tombstones.contains_key(&address)
+            };
+            let previous = self
+                .last_view
+                .values()
+                .filter(|record| record.id.starts_with(SYNTHETIC_ID_PREFIX) && record.phase == Phase::Ready);
+            let retained: Vec<ServerRecord> =
+                previous.filter(|record| record.address().is_some_and(unlisted)).cloned().collect();
+            for record in retained {
+                let (id, address) = (record.id.clone(), record.host_port.clone());
+                self.reports.push(ServerReport {
+                    id,
+                    address,
+                    phase: Phase::Ready,
+                    reason: StateReason::LastResort,
+                });
+                view.insert(record.id.clone(), record);
             }
         }
         view
     }
 
-    /// Boxes of the list that rumours take out: those heard of last, whose word is the likeliest to hold still, and never
-    /// more than the share, nor all.
-    fn hushed(&self, now: u64) -> BTreeSet<String> {
-        let (Some(rumours), Some(settings)) = (&self.rumours, &self.settings.rumours) else {
+    /// Returns the listed servers that gossip drains: the most recently reported ones, whose reports are the
+    /// likeliest to be still true; at most the configured share, and never all.
+    fn drained_by_gossip(&self, now: u64) -> BTreeSet<String> {
+        let (Some(gossip), Some(settings)) = (&self.gossip, &self.settings.rumours) else {
             return BTreeSet::new();
         };
-        let ready: Vec<&ServerRecord> =
-            self.list.values().filter(|l| l.phase == Phase::Ready && !self.is_origin(l)).collect();
-        let most = ((ready.len() as f64 * settings.share) as usize).max(1).min(ready.len().saturating_sub(1));
-        let said =
-            |l: &&ServerRecord| Some((Reverse(rumours.of(now, l.hash(), l.up_since_ms)?), l.id.clone()));
-        let mut said: Vec<(Reverse<u64>, String)> = ready.iter().filter_map(said).collect();
-        said.sort();
-        said.into_iter().take(most).map(|(_, id)| id).collect()
+        let ready: Vec<&ServerRecord> = self
+            .list
+            .values()
+            .filter(|record| record.phase == Phase::Ready && !self.is_origin(record))
+            .collect();
+        let limit =
+            ((ready.len() as f64 * settings.share) as usize).max(1).min(ready.len().saturating_sub(1));
+        let reported = |record: &&ServerRecord| {
+            Some((Reverse(gossip.reported_at(now, record.hash(), record.up_since_ms)?), record.id.clone()))
+        };
+        let mut reported: Vec<(Reverse<u64>, String)> = ready.iter().filter_map(reported).collect();
+        reported.sort();
+        reported.into_iter().take(limit).map(|(_, id)| id).collect()
     }
 
-    /// The priority of the boxes that DNS wants used: the lowest that has one which may be.
-    fn first_priority(&self, covered: &BTreeMap<SocketAddr, bool>) -> Option<u16> {
-        let usable = |n: &DnsServer| match covered.get(&n.address) {
+    /// Returns the priority of the DNS servers in use: the lowest one with a usable server.
+    fn lowest_usable_priority(&self, listed: &BTreeMap<SocketAddr, bool>) -> Option<u16> {
+        let usable = |server: &DnsServer| match listed.get(&server.address) {
             Some(ready) => *ready,
-            None => !self.tombs.contains_key(&n.address),
+            None => !self.tombstones.contains_key(&server.address),
         };
-        let named = self.names.boxes().map(|(n, ..)| n).filter(usable).map(|n| n.priority).min();
-        named.or((!self.settings.fixed.is_empty()).then_some(0))
+        let lowest =
+            self.dns.servers().map(|(server, ..)| server).filter(usable).map(|server| server.priority).min();
+        lowest.or((!self.settings.fixed.is_empty()).then_some(0))
     }
 
     fn mean_weight(&self, priority: Option<u16>) -> f32 {
-        let group = self.names.boxes().filter(|(n, _, doubted)| Some(n.priority) == priority && !doubted);
-        let (sum, count) = group.fold((0f32, 0f32), |(s, c), (n, ..)| (s + f32::from(n.weight), c + 1.0));
+        let group = self
+            .dns
+            .servers()
+            .filter(|(server, _, removal_pending)| Some(server.priority) == priority && !removal_pending);
+        let (sum, count) = group
+            .fold((0f32, 0f32), |(sum, count), (server, ..)| (sum + f32::from(server.weight), count + 1.0));
         if sum > 0.0 { sum / count } else { 1.0 }
     }
 
-    /// The line of a box that the list does not name. Its id is made of its address: the same at every node.
-    fn made(&self, named: &DnsServer, since: u64, mean: f32) -> ServerRecord {
+    /// Builds the record of a server that the list does not name. Its id derives from its address, so that it
+    /// is the same on every node.
+    fn synthetic_record(&self, server: &DnsServer, first_named_at: u64, mean: f32) -> ServerRecord {
         let ServerTemplate { locality, flavor, cell } = self.settings.like.clone();
-        let weight = if named.weight == 0 && mean <= 1.0 { 1.0 } else { f32::from(named.weight) / mean };
+        let weight = if server.weight == 0 && mean <= 1.0 { 1.0 } else { f32::from(server.weight) / mean };
         ServerRecord {
-            id: format!("{MADE}{}", named.address),
-            host_port: named.address.to_string(),
+            id: format!("{SYNTHETIC_ID_PREFIX}{}", server.address),
+            host_port: server.address.to_string(),
             locality,
             flavor,
             cell,
-            size: Some(weight.clamp(WEIGHTS.0, WEIGHTS.1)),
-            up_since_ms: since.max(1),
+            size: Some(weight.clamp(MIN_RELATIVE_WEIGHT, MAX_RELATIVE_WEIGHT)),
+            up_since_ms: first_named_at.max(1),
             phase: Phase::Ready,
         }
     }
 
-    /// For each box why it is in or out, as of the last [`Sources::changes`].
-    pub fn listed(&self) -> &[ServerReport] {
-        &self.listed
+    /// Returns the state of each server and the reason for it, as of the last [`Sources::changes`].
+    pub fn reports(&self) -> &[ServerReport] {
+        &self.reports
     }
 
-    /// The same for people and consoles: a line for each source, then one for each box.
+    /// Returns the state as text for operators: a line for each source, then one for each server.
     pub fn text(&self) -> String {
-        let reach = if self.list_out { "out-of-reach" } else { "in-reach" };
+        let reach = if self.list_unreachable { "out-of-reach" } else { "in-reach" };
         let mut text = format!(
             "source_list:{reach},boxes={}\r\nsource_dns:{},boxes={},doubted={}\r\nsource_fixed:boxes={}\r\nrumours:{}\r\ntaken_away:{}\r\n",
             self.list.len(),
-            self.names.word().name(),
-            self.names.boxes().count(),
-            self.names.doubted(),
+            self.dns.trust().name(),
+            self.dns.servers().count(),
+            self.dns.pending_removals(),
             self.settings.fixed.len(),
-            self.rumours.as_ref().map_or(0, Gossip::len),
-            self.tombs.len(),
+            self.gossip.as_ref().map_or(0, Gossip::len),
+            self.tombstones.len(),
         );
-        for ServerReport { id, at, phase, why } in &self.listed {
-            let _ = write!(text, "box:{id},{at},{},{}\r\n", phase.name(), why.name());
+        for ServerReport { id, address, phase, reason } in &self.reports {
+            let _ = write!(text, "box:{id},{address},{},{}\r\n", phase.name(), reason.name());
         }
         text
     }
 }
 
-/// How an id begins that is made of an address.
-const MADE: &str = "at-";
+/// Prefix of an id that derives from an address.
+const SYNTHETIC_ID_PREFIX: &str = "at-";
--- a/crates/mothpier-membership/tests/sources.rs
+++ b/crates/mothpier-membership/tests/sources.rs
@@ -1,4 +1,4 @@
-//! The rule of the sources, case by case, and what holds for every history.
+//! Tests of the merge rules of the membership sources: single cases, and invariants over random histories.
 
 use std::net::SocketAddr;
 
@@ -10,14 +10,14 @@
 
 const NOW: u64 = 1_000_000;
 
-fn at(n: u8) -> SocketAddr {
+fn address(n: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, n], 6379))
 }
 
-fn line(n: u8, phase: Phase) -> ServerRecord {
+fn record(n: u8, phase: Phase) -> ServerRecord {
     ServerRecord {
         id: format!("s-{n}"),
-        host_port: at(n).to_string(),
+        host_port: address(n).to_string(),
         locality: "a".into(),
         flavor: "m".into(),
         cell: 0,
@@ -27,8 +27,8 @@
     }
 }
 
-fn named(n: u8, priority: u16) -> DnsServer {
-    DnsServer { address: at(n), priority, weight: 10 }
+fn dns_server(n: u8, priority: u16) -> DnsServer {
+    DnsServer { address: address(n), priority, weight: 10 }
 }
 
 fn settings() -> Settings {
@@ -45,266 +45,318 @@
     Sources::new(settings(), 1, NOW)
 }
 
-/// The ready ids.
+/// Returns the ids of the ready cache servers.
 fn ready(sources: &mut Sources, now: u64) -> Vec<String> {
     sources.changes(now);
-    sources.shown().filter(|l| l.phase == Phase::Ready && l.flavor == "m").map(|l| l.id.clone()).collect()
+    sources
+        .last_view()
+        .filter(|record| record.phase == Phase::Ready && record.flavor == "m")
+        .map(|record| record.id.clone())
+        .collect()
 }
 
-fn dns(sources: &mut Sources, now: u64, boxes: &[DnsServer], answers: u64) {
-    let word = if boxes.is_empty() { DnsTrust::Nothing } else { DnsTrust::Fresh };
-    sources.names(now, word, boxes, true, answers);
+fn update_dns(sources: &mut Sources, now: u64, servers: &[DnsServer], answers: u64) {
+    let trust = if servers.is_empty() { DnsTrust::Nothing } else { DnsTrust::Fresh };
+    sources.names(now, trust, servers, true, answers);
 }
 
 #[test]
-fn what_the_list_drains_or_takes_away_dns_does_not_bring_back() {
-    let mut s = Sources::new(Settings { rumours: None, ..settings() }, 1, NOW);
-    s.list(NOW, true, vec![line(1, Phase::Ready), line(2, Phase::Ready), line(3, Phase::Ready)]);
+fn dns_does_not_bring_back_what_the_list_drained_or_removed() {
+    let mut sources = Sources::new(Settings { rumours: None, ..settings() }, 1, NOW);
+    sources.list(NOW, true, vec![record(1, Phase::Ready), record(2, Phase::Ready), record(3, Phase::Ready)]);
     for n in 0..50 {
-        dns(&mut s, NOW + n, &[named(1, 0), named(2, 0), named(3, 0)], n);
-        assert_eq!(ready(&mut s, NOW + n), ["s-1", "s-2", "s-3"]);
+        update_dns(&mut sources, NOW + n, &[dns_server(1, 0), dns_server(2, 0), dns_server(3, 0)], n);
+        assert_eq!(ready(&mut sources, NOW + n), ["s-1", "s-2", "s-3"]);
     }
-    s.list(NOW + 100, false, vec![line(1, Phase::Draining), line(2, Phase::Gone)]);
+    sources.list(NOW + 100, false, vec![record(1, Phase::Draining), record(2, Phase::Gone)]);
     for n in 0..50 {
-        dns(&mut s, NOW + 100 + n, &[named(1, 0), named(2, 0), named(3, 0)], 100 + n);
-        assert_eq!(ready(&mut s, NOW + 100 + n), ["s-3"]);
+        update_dns(
+            &mut sources,
+            NOW + 100 + n,
+            &[dns_server(1, 0), dns_server(2, 0), dns_server(3, 0)],
+            100 + n,
+        );
+        assert_eq!(ready(&mut sources, NOW + 100 + n), ["s-3"]);
     }
-    let why = |s: &Sources, id: &str| s.listed().iter().find(|l| l.id == id).map(|l| (l.phase, l.why));
-    assert_eq!(why(&s, "s-1"), Some((Phase::Draining, StateReason::List)));
-    assert_eq!(why(&s, "at-10.1.0.2:6379"), Some((Phase::Gone, StateReason::TakenAway)));
-    assert!(s.text().contains("box:at-10.1.0.2:6379,10.1.0.2:6379,gone,taken-away\r\n"), "{}", s.text());
-    // The list itself brings it back; and so does time, where the list does not speak of it any more.
-    assert_eq!(s.due(NOW + 200), Some(NOW + 100 + 60_000));
-    assert_eq!(ready(&mut s, NOW + 100 + 60_000), ["at-10.1.0.2:6379", "s-3"]);
-    s.list(NOW + 70_000, false, vec![line(1, Phase::Ready)]);
-    assert!(ready(&mut s, NOW + 70_000).contains(&"s-1".to_owned()));
+    let state = |sources: &Sources, id: &str| {
+        sources.reports().iter().find(|report| report.id == id).map(|report| (report.phase, report.reason))
+    };
+    assert_eq!(state(&sources, "s-1"), Some((Phase::Draining, StateReason::List)));
+    assert_eq!(state(&sources, "at-10.1.0.2:6379"), Some((Phase::Gone, StateReason::RemovedByList)));
+    assert!(
+        sources.text().contains("box:at-10.1.0.2:6379,10.1.0.2:6379,gone,taken-away\r\n"),
+        "{}",
+        sources.text()
+    );
+    // A server is back when the list says so, or when its removal by the list no longer counts.
+    assert_eq!(sources.due(NOW + 200), Some(NOW + 100 + 60_000));
+    assert_eq!(ready(&mut sources, NOW + 100 + 60_000), ["at-10.1.0.2:6379", "s-3"]);
+    sources.list(NOW + 70_000, false, vec![record(1, Phase::Ready)]);
+    assert!(ready(&mut sources, NOW + 70_000).contains(&"s-1".to_owned()));
 }
 
 #[test]
-fn a_whole_list_without_a_box_and_a_box_that_moves_leave_their_addresses() {
-    let mut s = sources();
-    s.list(NOW, true, vec![line(1, Phase::Ready), line(2, Phase::Ready)]);
-    s.list(NOW + 1, true, vec![line(2, Phase::Ready)]);
-    s.list(NOW + 2, false, vec![ServerRecord { host_port: at(9).to_string(), ..line(2, Phase::Ready) }]);
-    dns(&mut s, NOW + 3, &[named(1, 0), named(2, 0), named(9, 0)], 1);
-    assert_eq!(ready(&mut s, NOW + 3), ["s-2"]);
-    // A new box at the address of one that goes in the same list stays, in whatever order they stand.
-    let other = ServerRecord { id: "s-0".into(), ..line(9, Phase::Ready) };
-    s.list(NOW + 4, false, vec![other, line(2, Phase::Gone)]);
-    assert_eq!(ready(&mut s, NOW + 4), ["s-0"]);
+fn addresses_of_removed_and_moved_servers_stay_excluded() {
+    let mut sources = sources();
+    sources.list(NOW, true, vec![record(1, Phase::Ready), record(2, Phase::Ready)]);
+    sources.list(NOW + 1, true, vec![record(2, Phase::Ready)]);
+    sources.list(
+        NOW + 2,
+        false,
+        vec![ServerRecord { host_port: address(9).to_string(), ..record(2, Phase::Ready) }],
+    );
+    update_dns(&mut sources, NOW + 3, &[dns_server(1, 0), dns_server(2, 0), dns_server(9, 0)], 1);
+    assert_eq!(ready(&mut sources, NOW + 3), ["s-2"]);
+    // A new server at the address of one removed in the same list is kept, in whatever order they are listed.
+    let other = ServerRecord { id: "s-0".into(), ..record(9, Phase::Ready) };
+    sources.list(NOW + 4, false, vec![other, record(2, Phase::Gone)]);
+    assert_eq!(ready(&mut sources, NOW + 4), ["s-0"]);
 }
 
 #[test]
-fn a_box_that_only_dns_names_is_cold_and_keeps_its_place_when_the_list_names_it() {
-    let mut s = sources();
-    s.list(NOW, true, vec![line(1, Phase::Ready)]);
+fn a_server_named_only_by_dns_is_cold_and_is_renamed_when_the_list_names_it() {
+    let mut sources = sources();
+    sources.list(NOW, true, vec![record(1, Phase::Ready)]);
     let mapped: SocketAddr = "[::ffff:10.1.0.7]:6379".parse().unwrap();
-    let same = DnsServer { address: mapped, ..named(7, 0) };
-    dns(&mut s, NOW + 10, &[named(1, 0), same, named(7, 0)], 1);
-    let changes = s.changes(NOW + 10);
-    let new = changes.lines.iter().find(|l| l.id == "at-10.1.0.7:6379").unwrap();
+    let same_server = DnsServer { address: mapped, ..dns_server(7, 0) };
+    update_dns(&mut sources, NOW + 10, &[dns_server(1, 0), same_server, dns_server(7, 0)], 1);
+    let changes = sources.changes(NOW + 10);
+    let new = changes.lines.iter().find(|record| record.id == "at-10.1.0.7:6379").unwrap();
     assert_eq!((new.up_since_ms, new.phase, new.cell), (NOW + 10, Phase::Ready, 3));
-    // It is named on and on: its start stays. The list names it: one box, renamed, with the list's word on its start.
-    dns(&mut s, NOW + 20, &[named(1, 0), named(7, 0)], 2);
-    assert_eq!(s.changes(NOW + 20), mothpier_membership::Changes::default());
-    s.list(NOW + 30, false, vec![line(7, Phase::Ready)]);
-    let changes = s.changes(NOW + 30);
+    // Its start time stays the same in later answers. When the list names it, it is the same server under a
+    // new id, with the start time from the list.
+    update_dns(&mut sources, NOW + 20, &[dns_server(1, 0), dns_server(7, 0)], 2);
+    assert_eq!(sources.changes(NOW + 20), mothpier_membership::Changes::default());
+    sources.list(NOW + 30, false, vec![record(7, Phase::Ready)]);
+    let changes = sources.changes(NOW + 30);
     assert_eq!(changes.renamed, [("at-10.1.0.7:6379".to_owned(), "s-7".to_owned())]);
-    assert_eq!(ready(&mut s, NOW + 30), ["s-1", "s-7"]);
+    assert_eq!(ready(&mut sources, NOW + 30), ["s-1", "s-7"]);
 }
 
 #[test]
-fn lower_priorities_first_and_the_next_when_none_of_them_is_left() {
-    let mut s = sources();
-    s.list(NOW, true, vec![line(1, Phase::Ready)]);
-    dns(&mut s, NOW, &[named(1, 1), named(2, 1), named(3, 2)], 1);
-    assert_eq!(ready(&mut s, NOW), ["at-10.1.0.2:6379", "s-1"]);
-    assert!(s.listed().iter().any(|l| l.at == at(3).to_string() && l.why == StateReason::Standby));
-    s.list(NOW, false, vec![line(1, Phase::Gone)]);
-    dns(&mut s, NOW + 1, &[named(1, 1), named(3, 2)], 2);
-    assert_eq!(ready(&mut s, NOW + 1), ["at-10.1.0.3:6379"]);
-    // Weights become sizes against the mean of the group, within bounds.
-    let heavy = |n, weight| DnsServer { weight, ..named(n, 1) };
-    dns(&mut s, NOW + 2, &[heavy(4, 30), heavy(5, 10), heavy(6, 20), heavy(7, 0)], 3);
-    s.changes(NOW + 2);
-    let size = |n: u8| s.shown().find(|l| l.host_port == at(n).to_string()).and_then(|l| l.size);
+fn the_lowest_dns_priority_with_a_usable_server_is_used() {
+    let mut sources = sources();
+    sources.list(NOW, true, vec![record(1, Phase::Ready)]);
+    update_dns(&mut sources, NOW, &[dns_server(1, 1), dns_server(2, 1), dns_server(3, 2)], 1);
+    assert_eq!(ready(&mut sources, NOW), ["at-10.1.0.2:6379", "s-1"]);
+    assert!(
+        sources
+            .reports()
+            .iter()
+            .any(|report| report.address == address(3).to_string() && report.reason == StateReason::Standby)
+    );
+    sources.list(NOW, false, vec![record(1, Phase::Gone)]);
+    update_dns(&mut sources, NOW + 1, &[dns_server(1, 1), dns_server(3, 2)], 2);
+    assert_eq!(ready(&mut sources, NOW + 1), ["at-10.1.0.3:6379"]);
+    // A weight becomes a size relative to the mean weight of the same priority, within bounds.
+    let weighted = |n, weight| DnsServer { weight, ..dns_server(n, 1) };
+    update_dns(
+        &mut sources,
+        NOW + 2,
+        &[weighted(4, 30), weighted(5, 10), weighted(6, 20), weighted(7, 0)],
+        3,
+    );
+    sources.changes(NOW + 2);
+    let size = |n: u8| {
+        sources
+            .last_view()
+            .find(|record| record.host_port == address(n).to_string())
+            .and_then(|record| record.size)
+    };
     assert_eq!((size(4), size(6), size(7)), (Some(2.0), Some(20.0 / 15.0), Some(0.25)));
 }
 
 #[test]
-fn no_source_alone_empties_the_view() {
-    let mut s = Sources::new(
+fn the_view_stays_filled_when_dns_fails_and_the_list_is_unreachable() {
+    let mut sources = Sources::new(
         Settings { doubt: ShrinkGuard { share: 0.3, confirm: 1, hold_ms: 10 }, ..settings() },
         1,
         NOW,
     );
-    dns(&mut s, NOW, &[named(1, 0), named(2, 0)], 1);
+    update_dns(&mut sources, NOW, &[dns_server(1, 0), dns_server(2, 0)], 1);
     let both = ["at-10.1.0.1:6379", "at-10.1.0.2:6379"];
-    assert_eq!(ready(&mut s, NOW), both);
+    assert_eq!(ready(&mut sources, NOW), both);
     for n in 0..100 {
-        dns(&mut s, NOW + n * 10, &[], 2 + n);
-        assert_eq!(ready(&mut s, NOW + n * 10), both, "{n}");
+        update_dns(&mut sources, NOW + n * 10, &[], 2 + n);
+        assert_eq!(ready(&mut sources, NOW + n * 10), both, "{n}");
     }
-    assert!(s.listed().iter().all(|l| l.why == StateReason::LastResort));
-    s.names(NOW + 2_000, DnsTrust::Silent, &[], true, 200);
-    assert_eq!(ready(&mut s, NOW + 2_000), both);
-    // Both out: what was holds. And the list may take away what is left.
-    s.list_out();
-    assert_eq!(ready(&mut s, NOW + 3_000), both);
-    s.list(NOW + 4_000, false, vec![ServerRecord { phase: Phase::Gone, ..line(1, Phase::Ready) }]);
-    assert_eq!(ready(&mut s, NOW + 4_000), both[1..]);
-    // Real boxes come: the last resort is over.
-    s.list(NOW + 5_000, true, vec![line(5, Phase::Ready)]);
-    assert_eq!(ready(&mut s, NOW + 5_000), ["s-5"]);
+    assert!(sources.reports().iter().all(|report| report.reason == StateReason::LastResort));
+    sources.names(NOW + 2_000, DnsTrust::Silent, &[], true, 200);
+    assert_eq!(ready(&mut sources, NOW + 2_000), both);
+    // Without list and DNS the last view is kept, but the list may still remove what is left.
+    sources.list_out();
+    assert_eq!(ready(&mut sources, NOW + 3_000), both);
+    sources.list(NOW + 4_000, false, vec![ServerRecord { phase: Phase::Gone, ..record(1, Phase::Ready) }]);
+    assert_eq!(ready(&mut sources, NOW + 4_000), both[1..]);
+    // Servers kept as a last resort go as soon as others are listed.
+    sources.list(NOW + 5_000, true, vec![record(5, Phase::Ready)]);
+    assert_eq!(ready(&mut sources, NOW + 5_000), ["s-5"]);
 }
 
 #[test]
-fn a_rumour_keeps_a_drain_that_the_own_list_does_not_tell_within_its_share_and_time() {
+fn gossip_applies_a_drain_unknown_to_the_own_list_within_its_share_and_lifetime() {
     let (mut a, mut b) = (sources(), sources());
-    let all: Vec<ServerRecord> = (1..=4).map(|n| line(n, Phase::Ready)).collect();
+    let all: Vec<ServerRecord> = (1..=4).map(|n| record(n, Phase::Ready)).collect();
     a.list(NOW, true, all.clone());
     b.list(NOW, true, all);
     b.list_out();
-    a.list(NOW + 10, false, vec![line(1, Phase::Draining), line(2, Phase::Gone), line(3, Phase::Draining)]);
+    a.list(
+        NOW + 10,
+        false,
+        vec![record(1, Phase::Draining), record(2, Phase::Gone), record(3, Phase::Draining)],
+    );
     assert!(b.heard(NOW + 12, &a.tell(NOW + 11).unwrap()));
-    // Half of the four may be hushed; which of them: those heard of last, then by id.
+    // Gossip may drain half of the four: the most recently reported ones, then in order of id.
     assert_eq!(ready(&mut b, NOW + 12), ["s-3", "s-4"]);
-    assert_eq!(b.listed().iter().filter(|l| l.why == StateReason::Rumour).count(), 2);
+    assert_eq!(b.reports().iter().filter(|report| report.reason == StateReason::PeerReport).count(), 2);
     assert_eq!(ready(&mut b, NOW + 10 + 20_000), ["s-1", "s-2", "s-3", "s-4"]);
-    // Its own list's word ends a rumour of an older process, and one of the same when it says ready after it.
+    // An item ends when the own list reports a later process, or reports the same one ready after a drain.
     let mut c = sources();
-    c.list(NOW, true, (1..=4).map(|n| line(n, Phase::Ready)).collect());
+    c.list(NOW, true, (1..=4).map(|n| record(n, Phase::Ready)).collect());
     c.heard(NOW + 12, &a.tell(NOW + 200).unwrap());
     assert_eq!(ready(&mut c, NOW + 12), ["s-3", "s-4"]);
-    c.list(NOW + 13, false, vec![ServerRecord { up_since_ms: NOW + 5, ..line(1, Phase::Ready) }]);
-    c.list(NOW + 14, false, vec![line(2, Phase::Draining)]);
-    c.list(NOW + 15, false, vec![line(2, Phase::Ready)]);
+    c.list(NOW + 13, false, vec![ServerRecord { up_since_ms: NOW + 5, ..record(1, Phase::Ready) }]);
+    c.list(NOW + 14, false, vec![record(2, Phase::Draining)]);
+    c.list(NOW + 15, false, vec![record(2, Phase::Ready)]);
     assert_eq!(ready(&mut c, NOW + 16), ["s-1", "s-2", "s-4"]);
 }
 
 #[test]
-fn the_only_box_is_not_taken_out_by_hearsay() {
+fn gossip_does_not_drain_the_only_server() {
     let (mut a, mut b) = (sources(), sources());
-    a.list(NOW, true, vec![line(1, Phase::Ready), line(2, Phase::Ready)]);
-    b.list(NOW, true, vec![line(1, Phase::Ready)]);
-    a.list(NOW, false, vec![line(1, Phase::Gone)]);
+    a.list(NOW, true, vec![record(1, Phase::Ready), record(2, Phase::Ready)]);
+    b.list(NOW, true, vec![record(1, Phase::Ready)]);
+    a.list(NOW, false, vec![record(1, Phase::Gone)]);
     b.heard(NOW, &a.tell(NOW).unwrap());
     assert_eq!(ready(&mut b, NOW), ["s-1"]);
 }
 
 #[test]
-fn two_boxes_that_swap_addresses_are_both_kept_and_a_fixed_one_is_cold() {
-    let mut s = Sources::new(Settings { fixed: vec![at(8)], ..settings() }, 1, NOW);
-    s.list(NOW, true, vec![line(1, Phase::Ready), line(2, Phase::Ready)]);
-    assert_eq!(ready(&mut s, NOW), ["at-10.1.0.8:6379", "s-1", "s-2"]);
-    assert!(s.shown().any(|l| l.id.starts_with("at-") && l.up_since_ms == NOW));
-    let swap = |n, to| ServerRecord { host_port: at(to).to_string(), ..line(n, Phase::Ready) };
-    s.list(NOW + 1, false, vec![swap(1, 2), swap(2, 1)]);
-    dns(&mut s, NOW + 1, &[named(1, 0), named(2, 0)], 1);
-    assert_eq!(ready(&mut s, NOW + 1), ["at-10.1.0.8:6379", "s-1", "s-2"]);
-    s.list(
+fn servers_that_swap_addresses_are_both_kept_and_a_fixed_server_is_cold() {
+    let mut sources = Sources::new(Settings { fixed: vec![address(8)], ..settings() }, 1, NOW);
+    sources.list(NOW, true, vec![record(1, Phase::Ready), record(2, Phase::Ready)]);
+    assert_eq!(ready(&mut sources, NOW), ["at-10.1.0.8:6379", "s-1", "s-2"]);
+    assert!(sources.last_view().any(|record| record.id.starts_with("at-") && record.up_since_ms == NOW));
+    let swap = |n, to| ServerRecord { host_port: address(to).to_string(), ..record(n, Phase::Ready) };
+    sources.list(NOW + 1, false, vec![swap(1, 2), swap(2, 1)]);
+    update_dns(&mut sources, NOW + 1, &[dns_server(1, 0), dns_server(2, 0)], 1);
+    assert_eq!(ready(&mut sources, NOW + 1), ["at-10.1.0.8:6379", "s-1", "s-2"]);
+    sources.list(
         NOW + 2,
         false,
-        vec![ServerRecord { id: "o".into(), flavor: "origin".into(), ..line(8, Phase::Ready) }],
+        vec![ServerRecord { id: "o".into(), flavor: "origin".into(), ..record(8, Phase::Ready) }],
+    );
+    assert_eq!(
+        ready(&mut sources, NOW + 2),
+        ["s-1", "s-2"],
+        "the origin is not a cache server, whichever source names it"
     );
-    assert_eq!(ready(&mut s, NOW + 2), ["s-1", "s-2"], "an origin is no box, whoever names it");
 }
 
-/// A word of some source.
+/// A report from one of the sources, or the passing of time.
 #[derive(Clone, Debug)]
-enum Said {
-    List { whole: bool, lines: Vec<(u8, u8, u64)> },
-    Out,
-    Dns { word: u8, boxes: Vec<(u8, u8)>, all: bool },
-    Rumour(Vec<u8>),
+enum Report {
+    List { whole: bool, records: Vec<(u8, u8, u64)> },
+    ListUnreachable,
+    Dns { trust: u8, servers: Vec<(u8, u8)>, complete: bool },
+    Gossip(Vec<u8>),
     Later(u64),
 }
 
-/// `PROPTEST_CASES` asks for more.
+/// Returns the number of test cases, which `PROPTEST_CASES` overrides.
 fn cases(usual: u32) -> u32 {
     std::env::var("PROPTEST_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
 }
 
-fn said() -> impl Strategy<Value = Said> {
-    let lines = proptest::collection::btree_map(0..8u8, (0..3u8, 0..3u64), 0..6)
-        .prop_map(|lines| lines.into_iter().map(|(n, (phase, up))| (n, phase, up)).collect());
-    let boxes = proptest::collection::vec((0..8u8, 0..2u8), 0..6);
+fn report() -> impl Strategy<Value = Report> {
+    let records = proptest::collection::btree_map(0..8u8, (0..3u8, 0..3u64), 0..6).prop_map(|records| {
+        records.into_iter().map(|(n, (phase, up_since_ms))| (n, phase, up_since_ms)).collect()
+    });
+    let servers = proptest::collection::vec((0..8u8, 0..2u8), 0..6);
     prop_oneof![
-        (any::<bool>(), lines).prop_map(|(whole, lines)| Said::List { whole, lines }),
-        Just(Said::Out),
-        (0..5u8, boxes, any::<bool>()).prop_map(|(word, boxes, all)| Said::Dns { word, boxes, all }),
+        (any::<bool>(), records).prop_map(|(whole, records)| Report::List { whole, records }),
+        Just(Report::ListUnreachable),
+        (0..5u8, servers, any::<bool>()).prop_map(|(trust, servers, complete)| Report::Dns {
+            trust,
+            servers,
+            complete
+        }),
         proptest::collection::vec(any::<u8>(), 0..120).prop_map(|bytes| {
             let mut message = b"MPW1".to_vec();
             message.extend(bytes);
-            Said::Rumour(message)
+            Report::Gossip(message)
         }),
-        (1..40_000u64).prop_map(Said::Later),
+        (1..40_000u64).prop_map(Report::Later),
     ]
 }
 
-fn take(s: &mut Sources, now: &mut u64, answers: &mut u64, said: &Said) {
-    match said {
-        Said::List { whole, lines } => {
+fn apply(sources: &mut Sources, now: &mut u64, answers: &mut u64, report: &Report) {
+    match report {
+        Report::List { whole, records } => {
             let phase = |p| [Phase::Ready, Phase::Draining, Phase::Gone][usize::from(p)];
-            let lines =
-                lines.iter().map(|(n, p, up)| ServerRecord { up_since_ms: *up, ..line(*n, phase(*p)) });
-            s.list(*now, *whole, lines.collect());
+            let records = records.iter().map(|(n, p, up_since_ms)| ServerRecord {
+                up_since_ms: *up_since_ms,
+                ..record(*n, phase(*p))
+            });
+            sources.list(*now, *whole, records.collect());
         }
-        Said::Out => s.list_out(),
-        Said::Dns { word, boxes, all } => {
+        Report::ListUnreachable => sources.list_out(),
+        Report::Dns { trust, servers, complete } => {
             *answers += 1;
-            let words =
+            let all_trusts =
                 [DnsTrust::Unknown, DnsTrust::Fresh, DnsTrust::Stale, DnsTrust::Nothing, DnsTrust::Silent];
-            let word = words[usize::from(*word)];
-            let told = matches!(word, DnsTrust::Fresh | DnsTrust::Stale);
-            let boxes: Vec<DnsServer> =
-                boxes.iter().filter(|_| told).map(|(n, p)| named(*n, u16::from(*p))).collect();
-            s.names(*now, word, &boxes, *all, *answers);
+            let trust = all_trusts[usize::from(*trust)];
+            let named_any = matches!(trust, DnsTrust::Fresh | DnsTrust::Stale);
+            let servers: Vec<DnsServer> =
+                servers.iter().filter(|_| named_any).map(|(n, p)| dns_server(*n, u16::from(*p))).collect();
+            sources.names(*now, trust, &servers, *complete, *answers);
         }
-        Said::Rumour(bytes) => {
-            s.heard(*now, bytes);
+        Report::Gossip(bytes) => {
+            sources.heard(*now, bytes);
         }
-        Said::Later(ms) => *now += ms,
+        Report::Later(ms) => *now += ms,
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: cases(2_000), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Equal histories give equal views, however often they are looked at; changes add up to the view; what the list says of
-    /// a box is never overruled upwards; DNS alone never empties the view.
+    /// Equal histories give equal views, however often changes are polled. Changes add up to the view. A
+    /// server that the list reports as draining or gone is never ready. DNS alone never empties the view.
     #[test]
-    fn whatever_the_sources_say(history in proptest::collection::vec(said(), 1..40)) {
-        let (mut often, mut once) = (sources(), sources());
+    fn merge_invariants_hold_for_every_history(history in proptest::collection::vec(report(), 1..40)) {
+        let (mut polled_once, mut polled_twice) = (sources(), sources());
         let (mut now, mut answers) = (NOW, 0);
-        let (mut same, mut counted) = (NOW, 0);
-        let mut built = std::collections::BTreeMap::new();
-        for word in &history {
-            let before = often.shown().filter(|l| l.phase == Phase::Ready).count();
-            take(&mut often, &mut now, &mut answers, word);
-            take(&mut once, &mut same, &mut counted, word);
-            once.changes(same);
-            once.changes(same);
-            for l in often.changes(now).lines {
-                match l.phase {
-                    Phase::Gone => drop(built.remove(&l.id)),
-                    _ => drop(built.insert(l.id.clone(), l)),
+        let (mut second_now, mut second_answers) = (NOW, 0);
+        let mut rebuilt = std::collections::BTreeMap::new();
+        for report in &history {
+            let before = polled_once.last_view().filter(|record| record.phase == Phase::Ready).count();
+            apply(&mut polled_once, &mut now, &mut answers, report);
+            apply(&mut polled_twice, &mut second_now, &mut second_answers, report);
+            polled_twice.changes(second_now);
+            polled_twice.changes(second_now);
+            for record in polled_once.changes(now).lines {
+                match record.phase {
+                    Phase::Gone => drop(rebuilt.remove(&record.id)),
+                    _ => drop(rebuilt.insert(record.id.clone(), record)),
                 }
             }
-            prop_assert_eq!(built.values().collect::<Vec<_>>(), often.shown().collect::<Vec<_>>());
-            let after = often.shown().filter(|l| l.phase == Phase::Ready).count();
-            if matches!(word, Said::Dns { .. }) && before > 0 {
-                prop_assert!(after > 0, "DNS alone emptied the view: {:?}", word);
+            prop_assert_eq!(rebuilt.values().collect::<Vec<_>>(), polled_once.last_view().collect::<Vec<_>>());
+            let after = polled_once.last_view().filter(|record| record.phase == Phase::Ready).count();
+            if matches!(report, Report::Dns { .. }) && before > 0 {
+                prop_assert!(after > 0, "DNS alone emptied the view: {:?}", report);
             }
-            if let Said::List { lines, .. } = word {
-                for (n, phase, _) in lines {
+            if let Report::List { records, .. } = report {
+                for (n, phase, _) in records {
                     let unready = *phase != 0;
-                    let here = often.shown().any(|l| l.phase == Phase::Ready && l.host_port == at(*n).to_string());
-                    prop_assert!(!(unready && here), "{} is ready, which the list denies", n);
+                    let is_ready = polled_once
+                        .last_view()
+                        .any(|record| record.phase == Phase::Ready && record.host_port == address(*n).to_string());
+                    prop_assert!(!(unready && is_ready), "{} is ready, against the list", n);
                 }
             }
         }
-        let view = |s: &Sources| s.shown().cloned().collect::<Vec<_>>();
-        prop_assert_eq!(view(&often), view(&once));
+        let view = |sources: &Sources| sources.last_view().cloned().collect::<Vec<_>>();
+        prop_assert_eq!(view(&polled_once), view(&polled_twice));
     }
 }
