--- a/crates/mothpier-membership/src/server_record.rs
+++ b/crates/mothpier-membership/src/server_record.rs
@@ -39,7 +39,7 @@
     pub flavor: String,
     /// Cell.
     pub cell: u16,
-    /// Capacity relative to other servers.
+    /// Relative size, comparable with that of other servers.
     pub size: Option<f32>,
     /// Start time of the process, in Unix milliseconds; 0 if long ago.
     pub up_since_ms: u64,
--- a/crates/mothpier-net/src/inherited/tests.rs
+++ b/crates/mothpier-net/src/inherited/tests.rs
@@ -3,9 +3,11 @@
 use super::*;
 
 #[test]
-fn only_a_listening_tcp_socket_is_taken() {
-    for (number, why) in [("x", "no number"), ("-1", "standard"), ("2", "standard"), ("987654", "not open")] {
-        assert!(inherited(number).unwrap_err().contains(why), "{number}");
+fn only_a_listening_tcp_socket_is_accepted() {
+    for (number, reason) in
+        [("x", "not a descriptor number"), ("-1", "standard"), ("2", "standard"), ("987654", "not open")]
+    {
+        assert!(inherited(number).unwrap_err().contains(reason), "{number}");
     }
     let file = std::fs::File::open("/proc/self/status").unwrap().into_raw_fd();
     assert!(inherited(&file.to_string()).unwrap_err().contains("not a socket"));
--- a/crates/mothpier-net/src/lib.rs
+++ b/crates/mothpier-net/src/lib.rs
@@ -1,8 +1,8 @@
-//! The seam between the parts of a node and the machine: sockets, time and tasks.
+//! Abstraction of the operating system for the parts of a node: sockets, time and tasks.
 //!
-//! Every part of the node takes a [`Net`] as a type parameter. [`Tokio`] is the real one, a value of no size whose
-//! calls are tokio's own; the simulation has another, on a virtual clock. The choice is made at compile time, so
-//! that a program for production holds nothing of the simulation.
+//! Every part of the node takes a [`Net`] as a type parameter. [`Tokio`] is the real implementation, a
+//! zero-sized type whose methods call tokio directly; the simulation has its own, with a virtual clock. The
+//! choice is made at compile time, so that production binaries contain no simulation code.
 
 mod inherited;
 mod limits;
@@ -28,88 +28,89 @@
 pub use tokio_net::{AnyListener, AnyReadHalf, AnyStream, AnyWriteHalf, Tokio};
 pub use unix::UnixSocketSpec;
 
-/// A machine: where sockets, time and tasks come from.
+/// The machine that provides sockets, time and tasks.
 pub trait Net: Clone + 'static {
-    /// A TCP connection.
+    /// A stream connection.
     type Stream: Stream;
-    /// A TCP listener.
+    /// A listener for stream connections.
     type Listener: Listener<Stream = Self::Stream>;
     /// A UDP socket.
     type Socket: Socket;
-    /// A task that runs.
+    /// A handle to a spawned task.
     type Task: Task;
 
-    /// The monotonic clock.
+    /// Returns the time of the monotonic clock.
     fn now(&self) -> Instant;
 
-    /// Time since the Unix epoch.
+    /// Returns the time since the Unix epoch.
     fn unix_time(&self) -> Duration;
 
-    /// Time since some fixed moment, on a clock that nobody sets and that also counts while the machine is suspended: for
-    /// what must not be believed longer than it is true.
+    /// Returns the time since a fixed moment, on a clock that is never set and also advances while the
+    /// machine is suspended. Meant for state that must not be used beyond its validity, such as leases.
     fn boot_time(&self) -> Duration;
 
-    /// Ends at a time, at once where it has passed.
-    fn sleep_until(&self, at: Instant) -> impl Future<Output = ()>;
+    /// Completes at the given time, or at once if it has passed.
+    fn sleep_until(&self, deadline: Instant) -> impl Future<Output = ()>;
 
-    /// Goes once round the scheduler, which looks at the sockets then.
+    /// Yields to the scheduler once, which polls the sockets before this task resumes.
     fn yield_now(&self) -> impl Future<Output = ()>;
 
-    /// Runs a task on this machine's one thread.
+    /// Spawns a task on the single thread of this machine.
     fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Self::Task;
 
-    /// Opens a connection.
-    fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
+    /// Opens a TCP connection.
+    fn connect(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// Opens a listener.
-    fn listen(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
+    /// Opens a TCP listener.
+    fn listen(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
 
-    /// Opens a listener in the file system. Machines without one have none.
-    fn listen_unix(&self, at: &UnixSocketSpec) -> impl Future<Output = io::Result<Self::Listener>> {
-        let _ = at;
+    /// Opens a listener on a Unix socket. Unsupported by default.
+    fn listen_unix(&self, spec: &UnixSocketSpec) -> impl Future<Output = io::Result<Self::Listener>> {
+        let _ = spec;
         async { Err(io::ErrorKind::Unsupported.into()) }
     }
 
-    /// Takes over a listener that the platform opened. Machines without a platform have none.
+    /// Takes over a listener that the platform opened. Unsupported by default.
     fn adopt_listener(&self, listener: std::net::TcpListener) -> io::Result<Self::Listener> {
         let _ = listener;
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    /// Opens a socket for datagrams.
-    fn socket(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Socket>>;
+    /// Opens a UDP socket.
+    fn socket(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Socket>>;
 
-    /// Opens a socket for datagrams at an address that another process of this node may have open, too: what comes
-    /// goes to the one that opened it last.
-    fn shared_socket(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Socket>> {
-        self.socket(at)
+    /// Opens a UDP socket at an address that another process of this node may have open too. Datagrams go to
+    /// the process that opened it last.
+    fn shared_socket(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Socket>> {
+        self.socket(address)
     }
 
-    /// Chance that nobody outside can guess: for what must not be forged.
+    /// Returns unpredictable random bytes, for values that must not be forged.
     ///
     /// # Errors
     ///
-    /// A machine that has none.
+    /// The machine has no source of randomness.
     fn entropy(&self) -> io::Result<[u8; 32]>;
 
-    /// Writes a line to the log; a log that can't be written must not end the program.
+    /// Writes a line to the log. Failures are ignored: an unwritable log must not stop the program.
     fn log(&self, line: impl Display);
 
-    /// Ends after a span.
-    fn sleep(&self, span: Duration) -> impl Future<Output = ()> {
-        self.sleep_until(self.now() + span)
+    /// Completes after the given duration.
+    fn sleep(&self, duration: Duration) -> impl Future<Output = ()> {
+        self.sleep_until(self.now() + duration)
     }
 
-    /// How long ago a time was.
+    /// Returns how much time has passed since the given time, zero if it is in the future.
     fn since(&self, time: Instant) -> Duration {
         self.now().saturating_duration_since(time)
     }
 
-    /// Waits for a future until a time; `None` when the time has come first. What is ready at that time counts.
-    fn timeout_at<F: Future>(&self, at: Instant, future: F) -> impl Future<Output = Option<F::Output>> {
+    /// Waits for a future until the given time, and returns `None` on timeout. A future that is ready by then
+    /// wins.
+    fn timeout_at<F: Future>(&self, deadline: Instant, future: F) -> impl Future<Output = Option<F::Output>> {
         async move {
             let mut future = pin!(future);
-            let mut sleep = pin!(self.sleep_until(at));
+            let mut sleep = pin!(self.sleep_until(deadline));
             poll_fn(|cx| {
                 if let Poll::Ready(output) = future.as_mut().poll(cx) {
                     return Poll::Ready(Some(output));
@@ -120,56 +121,57 @@
         }
     }
 
-    /// Waits for a future for at most a span.
-    fn timeout<F: Future>(&self, span: Duration, future: F) -> impl Future<Output = Option<F::Output>> {
-        self.timeout_at(self.now() + span, future)
+    /// Waits for a future for at most the given duration, and returns `None` on timeout.
+    fn timeout<F: Future>(&self, duration: Duration, future: F) -> impl Future<Output = Option<F::Output>> {
+        self.timeout_at(self.now() + duration, future)
     }
 }
 
-/// A TCP connection. Dropping it closes it.
+/// A stream connection. Dropping it closes it.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
-    /// The half that reads.
+    /// The read half.
     type ReadHalf: ReadHalf;
-    /// The half that writes.
+    /// The write half.
     type WriteHalf: AsyncWrite + Unpin + 'static;
 
-    /// Parts the connection in two; it closes when both are dropped.
+    /// Splits the connection into its halves. It is closed once both are dropped.
     fn split(self) -> (Self::ReadHalf, Self::WriteHalf);
 
-    /// Sends small writes at once.
+    /// Disables Nagle's algorithm, so that small writes are sent at once.
     fn set_nodelay(&self);
 
-    /// Drops the connection with a reset instead of an orderly end.
+    /// Drops the connection with a reset instead of an orderly close.
     fn reset(self);
 }
 
-/// The half of a connection that reads.
+/// The read half of a connection.
 pub trait ReadHalf: 'static {
-    /// Ends when there is something to read, or the end.
+    /// Completes when there is data to read or the end of the stream has been reached.
     fn readable(&self) -> impl Future<Output = io::Result<()>>;
 
-    /// Reads what is there into the room behind the buffer's content; 0 is the end, `WouldBlock` nothing yet.
+    /// Appends available data to the buffer, within its spare capacity. Returns 0 at the end of the stream,
+    /// and `WouldBlock` if there is no data yet.
     fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize>;
 
-    /// Whether the other end is known to have closed, also where what it sent before is still unread.
+    /// Returns whether the peer is known to have closed, even if data that it sent before is still unread.
     fn closed(&self) -> bool;
 
-    /// Whether the other end has closed as of now: asked of the machine, where [`ReadHalf::closed`] knows what was heard of
-    /// it last.
+    /// Returns whether the peer has closed by now. Asks the kernel, whereas [`ReadHalf::closed`] relies on
+    /// the last event received from it.
     fn hung_up(&self) -> bool {
         self.closed()
     }
 }
 
-/// A TCP listener.
+/// A listener for stream connections.
 pub trait Listener: 'static {
-    /// What it accepts.
+    /// The type of accepted connections.
     type Stream;
 
-    /// Takes the next connection.
+    /// Polls for the next connection.
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(Self::Stream, SocketAddr)>>;
 
-    /// Where it listens.
+    /// Returns the address that it listens at.
     fn local_addr(&self) -> io::Result<SocketAddr>;
 
     /// Waits for the next connection.
@@ -180,21 +182,21 @@
 
 /// A UDP socket.
 pub trait Socket: 'static {
-    /// Sends a datagram, or fails where it can't go at once.
-    fn try_send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize>;
+    /// Sends a datagram, or fails if it can't be sent at once.
+    fn try_send_to(&self, bytes: &[u8], target: SocketAddr) -> io::Result<usize>;
 
-    /// Sends a datagram, as soon as it can go.
-    fn send_to(&self, bytes: &[u8], to: SocketAddr) -> impl Future<Output = io::Result<usize>>;
+    /// Sends a datagram as soon as the socket is writable.
+    fn send_to(&self, bytes: &[u8], target: SocketAddr) -> impl Future<Output = io::Result<usize>>;
 
-    /// Waits for a datagram: its length (cut to the buffer's) and its sender.
+    /// Waits for a datagram. Returns its length, truncated to the buffer's, and its sender.
     fn recv_from(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 
-    /// Where it is bound.
+    /// Returns the address that it is bound to.
     fn local_addr(&self) -> io::Result<SocketAddr>;
 }
 
-/// A task that runs; it goes on when this is dropped.
+/// A handle to a spawned task. Dropping it does not stop the task.
 pub trait Task: 'static {
-    /// Ends it at its next wait.
+    /// Aborts the task at its next await point.
     fn abort(&self);
 }
--- a/crates/mothpier-net/src/tokio_net.rs
+++ b/crates/mothpier-net/src/tokio_net.rs
@@ -1,4 +1,4 @@
-//! The real machine: tokio on one thread, inside a `LocalSet`.
+//! The [`Net`] of the real machine: tokio on a single thread, inside a `LocalSet`.
 
 use std::fmt::Display;
 use std::future::Future;
@@ -17,7 +17,7 @@
 use tokio::task::AbortHandle;
 
 use crate::stream_io;
-use crate::unix::{Bound, UnixSocketSpec, bind};
+use crate::unix::{BoundUnixListener, UnixSocketSpec, bind};
 use crate::{Listener, Net, ReadHalf, Socket, Stream, Task};
 
 /// The machine that the program runs on.
@@ -43,8 +43,8 @@
         Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
     }
 
-    fn sleep_until(&self, at: Instant) -> impl Future<Output = ()> {
-        tokio::time::sleep_until(at.into())
+    fn sleep_until(&self, deadline: Instant) -> impl Future<Output = ()> {
+        tokio::time::sleep_until(deadline.into())
     }
 
     fn yield_now(&self) -> impl Future<Output = ()> {
@@ -55,20 +55,20 @@
         tokio::task::spawn_local(task).abort_handle()
     }
 
-    async fn connect(&self, to: SocketAddr) -> io::Result<AnyStream> {
-        TcpStream::connect(to).await.map(AnyStream::Tcp)
+    async fn connect(&self, address: SocketAddr) -> io::Result<AnyStream> {
+        TcpStream::connect(address).await.map(AnyStream::Tcp)
     }
 
-    async fn listen(&self, at: SocketAddr) -> io::Result<AnyListener> {
-        TcpListener::bind(at).await.map(AnyListener::Tcp)
+    async fn listen(&self, address: SocketAddr) -> io::Result<AnyListener> {
+        TcpListener::bind(address).await.map(AnyListener::Tcp)
     }
 
-    async fn listen_unix(&self, at: &UnixSocketSpec) -> io::Result<AnyListener> {
-        bind(at).map(AnyListener::Unix)
+    async fn listen_unix(&self, spec: &UnixSocketSpec) -> io::Result<AnyListener> {
+        bind(spec).map(AnyListener::Unix)
     }
 
-    fn socket(&self, at: SocketAddr) -> impl Future<Output = io::Result<UdpSocket>> {
-        UdpSocket::bind(at)
+    fn socket(&self, address: SocketAddr) -> impl Future<Output = io::Result<UdpSocket>> {
+        UdpSocket::bind(address)
     }
 
     fn adopt_listener(&self, listener: std::net::TcpListener) -> io::Result<AnyListener> {
@@ -76,11 +76,11 @@
         TcpListener::from_std(listener).map(AnyListener::Tcp)
     }
 
-    async fn shared_socket(&self, at: SocketAddr) -> io::Result<UdpSocket> {
-        let socket = Socket2::new(Domain::for_address(at), Type::DGRAM, Some(Protocol::UDP))?;
+    async fn shared_socket(&self, address: SocketAddr) -> io::Result<UdpSocket> {
+        let socket = Socket2::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
-        socket.bind(&at.into())?;
+        socket.bind(&address.into())?;
         UdpSocket::from_std(socket.into())
     }
 
@@ -97,85 +97,89 @@
 
 /// A connection over TCP or a Unix socket.
 pub enum AnyStream {
-    /// Over TCP.
+    /// TCP.
     Tcp(TcpStream),
-    /// Within this machine.
+    /// Unix socket.
     Unix(UnixStream),
 }
 
-/// The half of it that reads.
+/// The read half of an [`AnyStream`].
 pub enum AnyReadHalf {
-    /// Over TCP.
+    /// TCP.
     Tcp(tcp::OwnedReadHalf),
-    /// Within this machine.
+    /// Unix socket.
     Unix(unix::OwnedReadHalf),
 }
 
-/// The half of it that writes.
+/// The write half of an [`AnyStream`].
 pub enum AnyWriteHalf {
-    /// Over TCP.
+    /// TCP.
     Tcp(tcp::OwnedWriteHalf),
-    /// Within this machine.
+    /// Unix socket.
     Unix(unix::OwnedWriteHalf),
 }
 
-/// Where connections come in.
+/// A listener on TCP or a Unix socket.
 pub enum AnyListener {
-    /// Over TCP.
+    /// TCP.
     Tcp(TcpListener),
-    /// Within this machine.
-    Unix(Bound),
+    /// Unix socket.
+    Unix(BoundUnixListener),
 }
 
-/// Calls the same of whichever it is.
-macro_rules! either {
-    ($of:ident, $it:expr, $one:ident => $call:expr) => {
-        match $it {
-            $of::Tcp($one) => $call,
-            $of::Unix($one) => $call,
+/// Evaluates the same expression for the socket of either variant.
+macro_rules! dispatch {
+    ($kind:ident, $value:expr, $socket:ident => $call:expr) => {
+        match $value {
+            $kind::Tcp($socket) => $call,
+            $kind::Unix($socket) => $call,
         }
     };
 }
 
 impl AsyncRead for AnyStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        either!(AnyStream, self.get_mut(), s => stream_io::poll_read(s, cx, to))
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        dispatch!(AnyStream, self.get_mut(), socket => stream_io::poll_read(socket, cx, buffer))
     }
 }
 
-/// Both ends write alike; the one that was split off through the stream that it is a half of.
-macro_rules! writes {
-    ($of:ident, $s:ident => $stream:expr) => {
-        impl AsyncWrite for $of {
+/// Implements `AsyncWrite`; a write half goes through the stream that it belongs to.
+macro_rules! impl_async_write {
+    ($kind:ident, $socket:ident => $stream:expr) => {
+        impl AsyncWrite for $kind {
             fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-                either!($of, self.get_mut(), $s => stream_io::poll_write($stream, cx, bytes))
+                dispatch!($kind, self.get_mut(), $socket => stream_io::poll_write($stream, cx, bytes))
             }
 
             fn poll_write_vectored(
                 self: Pin<&mut Self>,
                 cx: &mut Context<'_>,
-                parts: &[io::IoSlice<'_>],
+                slices: &[io::IoSlice<'_>],
             ) -> Poll<io::Result<usize>> {
-                either!($of, self.get_mut(), $s => stream_io::poll_write_vectored($stream, cx, parts))
+                dispatch!($kind, self.get_mut(), $socket => stream_io::poll_write_vectored($stream, cx, slices))
             }
 
             fn is_write_vectored(&self) -> bool {
-                either!($of, self, s => s.is_write_vectored())
+                dispatch!($kind, self, socket => socket.is_write_vectored())
             }
 
             fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-                either!($of, self.get_mut(), s => Pin::new(s).poll_flush(cx))
+                dispatch!($kind, self.get_mut(), socket => Pin::new(socket).poll_flush(cx))
             }
 
             fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-                either!($of, self.get_mut(), s => Pin::new(s).poll_shutdown(cx))
+                dispatch!($kind, self.get_mut(), socket => Pin::new(socket).poll_shutdown(cx))
             }
         }
     };
 }
 
-writes!(AnyStream, s => &*s);
-writes!(AnyWriteHalf, s => s.as_ref());
+impl_async_write!(AnyStream, socket => &*socket);
+impl_async_write!(AnyWriteHalf, socket => socket.as_ref());
 
 impl Stream for AnyStream {
     type ReadHalf = AnyReadHalf;
@@ -183,39 +187,39 @@
 
     fn split(self) -> (AnyReadHalf, AnyWriteHalf) {
         match self {
-            AnyStream::Tcp(s) => {
-                let (reading, writing) = s.into_split();
-                (AnyReadHalf::Tcp(reading), AnyWriteHalf::Tcp(writing))
+            AnyStream::Tcp(socket) => {
+                let (read_half, write_half) = socket.into_split();
+                (AnyReadHalf::Tcp(read_half), AnyWriteHalf::Tcp(write_half))
             }
-            AnyStream::Unix(s) => {
-                let (reading, writing) = s.into_split();
-                (AnyReadHalf::Unix(reading), AnyWriteHalf::Unix(writing))
+            AnyStream::Unix(socket) => {
+                let (read_half, write_half) = socket.into_split();
+                (AnyReadHalf::Unix(read_half), AnyWriteHalf::Unix(write_half))
             }
         }
     }
 
     fn set_nodelay(&self) {
-        if let AnyStream::Tcp(s) = self {
-            let _ = s.set_nodelay(true);
+        if let AnyStream::Tcp(socket) = self {
+            let _ = socket.set_nodelay(true);
         }
     }
 
     fn reset(self) {
-        // A linger of no time makes the close a reset; within a machine there are none.
-        if let AnyStream::Tcp(s) = self {
-            let _ = s.set_zero_linger();
+        // With a linger time of zero, closing sends a reset. Unix sockets have no resets.
+        if let AnyStream::Tcp(socket) = self {
+            let _ = socket.set_zero_linger();
         }
     }
 }
 
 impl ReadHalf for AnyReadHalf {
     async fn readable(&self) -> io::Result<()> {
-        either!(AnyReadHalf, self, s => s.readable().await)
+        dispatch!(AnyReadHalf, self, socket => socket.readable().await)
     }
 
     fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize> {
         loop {
-            match either!(AnyReadHalf, self, s => s.try_read_buf(buffer)) {
+            match dispatch!(AnyReadHalf, self, socket => socket.try_read_buf(buffer)) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 read => return read,
             }
@@ -224,18 +228,20 @@
 
     fn closed(&self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
-        let polled = either!(AnyReadHalf, self, s => pin!(s.ready(Interest::READABLE)).poll(&mut cx));
+        let polled =
+            dispatch!(AnyReadHalf, self, socket => pin!(socket.ready(Interest::READABLE)).poll(&mut cx));
         matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
     fn hung_up(&self) -> bool {
-        const AT_ONCE: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
-        let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        let socket = either!(AnyReadHalf, self, s => PollFd::from_borrowed_fd(s.as_ref().as_fd(), gone));
-        let mut sockets = [socket];
-        match poll(&mut sockets, Some(&AT_ONCE)) {
-            Ok(_) => sockets[0].revents().intersects(gone),
-            // What can't be asked is as it was last heard.
+        const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let closed_events = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+        let poll_fd = dispatch!(AnyReadHalf, self, socket =>
+            PollFd::from_borrowed_fd(socket.as_ref().as_fd(), closed_events));
+        let mut poll_fds = [poll_fd];
+        match poll(&mut poll_fds, Some(&NO_WAIT)) {
+            Ok(_) => poll_fds[0].revents().intersects(closed_events),
+            // If the kernel can't be asked, the last known state applies.
             Err(_) => self.closed(),
         }
     }
@@ -246,30 +252,32 @@
 
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(AnyStream, SocketAddr)>> {
         match self {
-            AnyListener::Tcp(door) => door.poll_accept(cx).map_ok(|(s, from)| (AnyStream::Tcp(s), from)),
-            // Who connects there has no address.
-            AnyListener::Unix(door) => {
-                let nobody = SocketAddr::from(([0, 0, 0, 0], 0));
-                door.listener.poll_accept(cx).map_ok(|(s, _)| (AnyStream::Unix(s), nobody))
+            AnyListener::Tcp(listener) => {
+                listener.poll_accept(cx).map_ok(|(socket, client)| (AnyStream::Tcp(socket), client))
+            }
+            // Clients of a Unix socket have no address.
+            AnyListener::Unix(bound) => {
+                let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
+                bound.listener.poll_accept(cx).map_ok(|(socket, _)| (AnyStream::Unix(socket), unspecified))
             }
         }
     }
 
     fn local_addr(&self) -> io::Result<SocketAddr> {
         match self {
-            AnyListener::Tcp(door) => door.local_addr(),
+            AnyListener::Tcp(listener) => listener.local_addr(),
             AnyListener::Unix(_) => Err(io::ErrorKind::Unsupported.into()),
         }
     }
 }
 
 impl Socket for UdpSocket {
-    fn try_send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
-        UdpSocket::try_send_to(self, bytes, to)
+    fn try_send_to(&self, bytes: &[u8], target: SocketAddr) -> io::Result<usize> {
+        UdpSocket::try_send_to(self, bytes, target)
     }
 
-    async fn send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
-        UdpSocket::send_to(self, bytes, to).await
+    async fn send_to(&self, bytes: &[u8], target: SocketAddr) -> io::Result<usize> {
+        UdpSocket::send_to(self, bytes, target).await
     }
 
     async fn recv_from(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
--- a/crates/mothpier-net/src/unix.rs
+++ b/crates/mothpier-net/src/unix.rs
@@ -1,4 +1,5 @@
-//! Unix sockets: bound where nobody else reaches them, given their mode and owner, and only then put in their place.
+//! Listeners on Unix sockets. A socket is bound in a private directory, given its mode and owner, and only
+//! then moved to its path, so that nobody can connect before the permissions are set.
 
 use std::fs::{self, DirBuilder, Permissions};
 use std::io::{self, ErrorKind};
@@ -8,66 +9,67 @@
 
 use tokio::net::UnixListener;
 
-/// A place in the file system, and who may connect there.
+/// Path and permissions of a Unix socket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnixSocketSpec {
-    /// Its absolute path.
+    /// Absolute path.
     pub path: PathBuf,
-    /// Its mode, as 0660.
+    /// File mode, such as 0660.
     pub mode: u32,
-    /// Its owner, if another than the process's.
+    /// User id of the owner, if other than that of the process.
     pub owner: Option<u32>,
-    /// Its group, likewise.
+    /// Group id, if other than that of the process.
     pub group: Option<u32>,
 }
 
-/// A listener that takes its place away when it ends.
-pub struct Bound {
+/// A listener that removes its socket file when dropped.
+pub struct BoundUnixListener {
     pub listener: UnixListener,
     path: PathBuf,
     inode: u64,
 }
 
-impl Drop for Bound {
+impl Drop for BoundUnixListener {
     fn drop(&mut self) {
-        // A node that was started meanwhile may have put its own there.
-        if fs::symlink_metadata(&self.path).is_ok_and(|m| m.ino() == self.inode) {
+        // A node started in the meantime may have replaced the file by its own socket.
+        if fs::symlink_metadata(&self.path).is_ok_and(|metadata| metadata.ino() == self.inode) {
             let _ = fs::remove_file(&self.path);
         }
     }
 }
 
-/// Binds a place. What a node that died left there is replaced; what somebody listens at, or what is no socket, is not.
-pub fn bind(at: &UnixSocketSpec) -> io::Result<Bound> {
-    match fs::symlink_metadata(&at.path) {
-        Ok(there) if !there.file_type().is_socket() => {
-            return Err(io::Error::new(ErrorKind::AlreadyExists, "something that is no socket stands there"));
+/// Binds a Unix socket. Replaces a socket file that a dead node left behind, but neither a socket with a
+/// listener nor a file of another kind.
+pub fn bind(spec: &UnixSocketSpec) -> io::Result<BoundUnixListener> {
+    match fs::symlink_metadata(&spec.path) {
+        Ok(existing) if !existing.file_type().is_socket() => {
+            return Err(io::Error::new(ErrorKind::AlreadyExists, "the path exists and is not a socket"));
         }
-        Ok(_) if UnixStream::connect(&at.path).is_ok() => {
-            return Err(io::Error::new(ErrorKind::AddrInUse, "another process listens there"));
+        Ok(_) if UnixStream::connect(&spec.path).is_ok() => {
+            return Err(io::Error::new(ErrorKind::AddrInUse, "another process is listening on this socket"));
         }
         Ok(_) | Err(_) => {}
     }
-    let folder = at.path.parent().unwrap_or(Path::new("/"));
-    // Until it has its mode nobody else may reach it.
-    let private = folder.join(format!(".mothpier-{}", std::process::id()));
-    let _ = fs::remove_dir_all(&private);
-    DirBuilder::new().mode(0o700).create(&private)?;
-    let bound = bind_within(&private, at);
-    let _ = fs::remove_dir_all(&private);
+    let directory = spec.path.parent().unwrap_or(Path::new("/"));
+    // No other user can reach the socket in here before it has its mode.
+    let private_directory = directory.join(format!(".mothpier-{}", std::process::id()));
+    let _ = fs::remove_dir_all(&private_directory);
+    DirBuilder::new().mode(0o700).create(&private_directory)?;
+    let bound = bind_in_directory(&private_directory, spec);
+    let _ = fs::remove_dir_all(&private_directory);
     bound
 }
 
-fn bind_within(private: &Path, at: &UnixSocketSpec) -> io::Result<Bound> {
-    let first = private.join("s");
-    let listener = UnixListener::bind(&first)?;
-    if at.owner.is_some() || at.group.is_some() {
-        chown(&first, at.owner, at.group)?;
+fn bind_in_directory(private_directory: &Path, spec: &UnixSocketSpec) -> io::Result<BoundUnixListener> {
+    let temporary_path = private_directory.join("s");
+    let listener = UnixListener::bind(&temporary_path)?;
+    if spec.owner.is_some() || spec.group.is_some() {
+        chown(&temporary_path, spec.owner, spec.group)?;
     }
-    fs::set_permissions(&first, Permissions::from_mode(at.mode))?;
-    let inode = fs::symlink_metadata(&first)?.ino();
-    fs::rename(&first, &at.path)?;
-    Ok(Bound { listener, path: at.path.clone(), inode })
+    fs::set_permissions(&temporary_path, Permissions::from_mode(spec.mode))?;
+    let inode = fs::symlink_metadata(&temporary_path)?.ino();
+    fs::rename(&temporary_path, &spec.path)?;
+    Ok(BoundUnixListener { listener, path: spec.path.clone(), inode })
 }
 
 #[cfg(test)]
--- a/crates/mothpier/tests/upgrade.rs
+++ b/crates/mothpier/tests/upgrade.rs
@@ -211,7 +211,7 @@
 #[test]
 fn a_descriptor_that_is_no_listener_is_a_clear_error_and_an_exit() {
     let discovery = Discovery::start("");
-    for (number, why) in [("x", "no number"), ("99", "not open"), ("0", "standard streams")] {
+    for (number, why) in [("x", "not a descriptor number"), ("99", "not open"), ("0", "standard streams")] {
         let mut command = node_command("nodescriptor", discovery.address, 256, "");
         let output = command.env("ROUTER_ACCEPT_FD", number).output().unwrap();
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
