--- a/crates/mothpier/src/accept_failure.rs
+++ b/crates/mothpier/src/accept_failure.rs
@@ -1,11 +1,11 @@
-//! What a failed accept says: of one connection, or of what the machine has left. Pure.
+//! Classifies errors of `accept`: the loss of one connection, or exhausted resources. No I/O.
 
 use std::io::{self, ErrorKind};
 
-/// Errors that a connection had already before it was accepted: Linux hands them on from `accept`, and asks to be called
-/// again (accept(2), "Error handling").
-const OF_THE_CONNECTION: [i32; 9] = [
-    1,   // EPERM: a firewall forbids it.
+/// Errors of a connection that occurred before it was accepted. Linux returns them from `accept` and
+/// recommends to call it again (accept(2), "Error handling").
+const CONNECTION_ERRORS: [i32; 9] = [
+    1,   // EPERM: forbidden by a firewall rule
     64,  // ENONET
     71,  // EPROTO
     92,  // ENOPROTOOPT
@@ -16,18 +16,19 @@
     113, // EHOSTUNREACH
 ];
 
-/// What a failed accept says.
+/// The cause of a failed `accept`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// One connection is gone; the next one can be accepted at once.
+    /// One connection was lost; the next one can be accepted at once.
     ConnectionLost,
-    /// Descriptors, buffers or memory are used up, or something else that may pass: there has to be room first.
+    /// Descriptors, buffers or memory are exhausted, or there is another error that may pass; resources must
+    /// be freed first.
     OutOfResources,
 }
 
 impl From<&io::Error> for AcceptFailure {
     fn from(error: &io::Error) -> Self {
-        let of_the_kind = matches!(
+        let by_kind = matches!(
             error.kind(),
             ErrorKind::ConnectionAborted
                 | ErrorKind::ConnectionReset
@@ -35,8 +36,8 @@
                 | ErrorKind::WouldBlock
                 | ErrorKind::TimedOut
         );
-        let by_number = error.raw_os_error().is_some_and(|number| OF_THE_CONNECTION.contains(&number));
-        if of_the_kind || by_number { AcceptFailure::ConnectionLost } else { AcceptFailure::OutOfResources }
+        let by_errno = error.raw_os_error().is_some_and(|errno| CONNECTION_ERRORS.contains(&errno));
+        if by_kind || by_errno { AcceptFailure::ConnectionLost } else { AcceptFailure::OutOfResources }
     }
 }
 
--- a/crates/mothpier/src/cancellation.rs
+++ b/crates/mothpier/src/cancellation.rs
@@ -1,9 +1,9 @@
-//! Whether the client of a request still waits: known to its connection, and asked of the kernel where that knowledge is
-//! old.
+//! Tells whether the client of a request still waits. Its connection knows that, and the kernel is asked
+//! where that knowledge may be outdated.
 //!
-//! A process that was stopped, or kept from running, goes on with what is due before its runtime looks at the sockets
-//! again. A client that left meanwhile is known to the kernel alone; so the first byte of an attempt is written only if the
-//! connection was looked at a moment ago, or is looked at now.
+//! A process that was suspended, or got no CPU time, continues with the work that is due before its runtime
+//! polls the sockets again. If a client closed its connection meanwhile, only the kernel knows. So the first
+//! byte of an attempt is written only if the connection was checked a moment ago, or is checked now.
 
 use std::cell::Cell;
 use std::fmt;
@@ -14,30 +14,31 @@
 
 use crate::{Mutation, mutation_active};
 
-/// A connection that was seen to stand is asked for again after this time; a system call for each attempt would cost some
-/// hundredths of a request.
-const FRESH: Duration = Duration::from_millis(10);
+/// A connection that was seen open is checked again after this time. A system call for each attempt would
+/// cost a few percent of the work for a request.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A client's connection, as the kernel knows it.
+/// Checks with the kernel whether a client's connection is open.
 pub struct ConnectionProbe {
     hung_up: Box<dyn Fn() -> bool>,
+    /// When the connection was last seen open.
     seen: Cell<Instant>,
 }
 
 impl ConnectionProbe {
-    /// Of a connection that stands now.
-    pub fn new<R: ReadHalf>(reading: Rc<R>, now: Instant) -> Self {
-        ConnectionProbe { hung_up: Box::new(move || reading.hung_up()), seen: Cell::new(now) }
+    /// Creates the probe of a connection that is open now.
+    pub fn new<R: ReadHalf>(read_half: Rc<R>, now: Instant) -> Self {
+        ConnectionProbe { hung_up: Box::new(move || read_half.hung_up()), seen: Cell::new(now) }
     }
 
-    /// The connection was seen to stand.
-    pub fn stands(&self, now: Instant) {
+    /// Records that the connection was seen open.
+    pub fn mark_open(&self, now: Instant) {
         self.seen.set(now);
     }
 
-    /// Whether the client has closed or reset it, or has ended its sending.
+    /// Returns whether the client has closed or reset the connection, or shut down its sending side.
     fn hung_up(&self, now: Instant) -> bool {
-        if now.saturating_duration_since(self.seen.get()) < FRESH {
+        if now.saturating_duration_since(self.seen.get()) < RECHECK_INTERVAL {
             return false;
         }
         let hung_up = (self.hung_up)();
@@ -54,34 +55,35 @@
     }
 }
 
-/// A request whose client waits.
+/// A request whose client is waiting.
 #[derive(Debug)]
-struct Waiting {
+struct WaitingRequest {
     connection: Rc<ConnectionProbe>,
 }
 
-/// Held by a client's connection for as long as it waits for an answer: dropping it cancels the request.
+/// Held by a client's connection while it waits for an answer; dropping it cancels the request.
 #[derive(Debug)]
-pub struct CancelGuard(Rc<Waiting>);
+pub struct CancelGuard(Rc<WaitingRequest>);
 
 impl CancelGuard {
-    /// Of a request that came on a connection.
+    /// Creates the guard of a request received on a connection.
     pub fn new(connection: Rc<ConnectionProbe>) -> Self {
-        CancelGuard(Rc::new(Waiting { connection }))
+        CancelGuard(Rc::new(WaitingRequest { connection }))
     }
 
-    /// The token by which the rest of the node sees whether the request is cancelled.
+    /// Returns the token that tells the rest of the node whether the request is cancelled.
     pub fn token(&self) -> CancelToken {
         CancelToken(Some(Rc::downgrade(&self.0)))
     }
 }
 
-/// Tells whether a request is cancelled, for what is about to be sent for it. The default never is.
+/// Tells, before anything is sent for a request, whether the request is cancelled. The default token never
+/// is.
 #[derive(Clone, Debug, Default)]
-pub struct CancelToken(Option<Weak<Waiting>>);
+pub struct CancelToken(Option<Weak<WaitingRequest>>);
 
 impl CancelToken {
-    /// Whether the client no longer waits, as its connection or the kernel knows.
+    /// Returns whether the client no longer waits, according to its connection or the kernel.
     pub fn is_cancelled(&self, now: Instant) -> bool {
         if mutation_active(Mutation::SentAfterLeft) || mutation_active(Mutation::SentAfterAnswer) {
             return false;
--- a/crates/mothpier/src/clients.rs
+++ b/crates/mothpier/src/clients.rs
@@ -1,4 +1,5 @@
-//! The listener and RESP2 from clients. Answers go out in the order of the commands on a connection.
+//! Accepts client connections and serves RESP2 on them. Replies are sent in the order of the commands on a
+//! connection.
 
 mod commands;
 mod pending;
@@ -17,11 +18,11 @@
 use brassrouter::settings::Site;
 use brassrouter::{Micros, RequestId};
 use mothpier_net::{Listener, Net, Stream};
-use mothpier_session::Connection as Told;
+use mothpier_session::Connection as ConnectionState;
 use mothpier_slots::Tier;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc};
 
-use self::pending::{Slot, Wait};
+use self::pending::{PendingReply, ReplyState};
 use self::session::Session;
 use crate::accept_failure::AcceptFailure;
 use crate::binding::Binding;
@@ -36,70 +37,71 @@
 use crate::resp::MAX_VALUE;
 use crate::{Mutation, mutation_active};
 
-/// Requests of one connection that may be open; those beyond are refused.
+/// Maximum number of open requests on one connection; further ones are refused.
 const MAX_PIPELINE: usize = 128;
-/// Between tries to accept while there is no room; a connection has rested when it was idle for so long.
+/// Delay between attempts to accept while the node is at its limit, and the minimum idle time before a
+/// connection may be evicted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// When a request that finds the node's memory full may come back, milliseconds.
-const FULL_RETRY_MS: u64 = 100;
-/// Memory that an open request counts for until its answer is written, beside its own value: half of the largest
-/// answer, for few are large.
-const REQUEST_KB: usize = MAX_VALUE / 2 / 1024;
+/// Retry delay sent with a `BUSY` reply, in milliseconds.
+const BUSY_RETRY_MS: u64 = 100;
+/// Memory reserved for an open request until its reply is written, in addition to its own value, in KB: half
+/// of the largest value that is held whole, since most replies are small.
+const REQUEST_MEMORY_KB: usize = MAX_VALUE / 2 / 1024;
 
-/// What the rest of the node decides for all clients.
+/// State of the node that all client connections depend on.
 pub struct State {
-    /// Whether work is taken.
+    /// Whether the node accepts connections and serves requests.
     pub phase: Rc<ServingPhase>,
-    /// Where ends of requests are counted.
+    /// Counts finished requests and closed connections.
     pub figures: Rc<Metrics>,
-    /// What this process may use of what the node has.
+    /// The share of the node's resources that this process may use.
     pub share: Rc<Share>,
-    /// Where what befalls connections is logged.
+    /// Logs connection and request events.
     pub event_log: Rc<EventLog>,
-    /// Where slot-aware clients are served: the tier that they are shown.
+    /// The tier that is described to slot-aware clients, if the node serves them.
     pub tier: Option<Rc<RefCell<Tier>>>,
-    /// Where there are more sources of boxes than the list: what they say.
+    /// The membership view, if there are further sources of cache servers beside the server list.
     pub membership: Option<Membership>,
-    /// Where it is one application's sidecar: what that may ask for.
+    /// What the application may request, if the node is a sidecar.
     pub binding: Option<Binding>,
 }
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub struct Clients<N> {
     net: N,
-    /// Where slot-aware clients are served: the tier that they are shown.
+    /// The tier that is described to slot-aware clients, if the node serves them.
     tier: Option<Rc<RefCell<Tier>>>,
-    /// Where there are more sources of boxes than the list: what they say.
+    /// The membership view, if there are further sources of cache servers beside the server list.
     membership: Option<Membership>,
     binding: Option<Binding>,
     site: Site,
     now: Box<dyn Fn() -> Micros>,
-    /// Requests taken and not ended: each is counted by the guard in its slot.
-    taken: Rc<Cell<usize>>,
+    /// Number of requests without a final reply. Each one is counted by a [`pending::PendingRequest`].
+    pending_requests: Rc<Cell<usize>>,
     figures: Rc<Metrics>,
     event_log: Rc<EventLog>,
     share: Rc<Share>,
-    /// When it began, and how many connections and commands came since.
-    began: Instant,
-    connections: Cell<u64>,
-    commands: Cell<u64>,
+    /// Start time, and the connections and commands received since then.
+    started_at: Instant,
+    connections_accepted: Cell<u64>,
+    commands_received: Cell<u64>,
     next_request: Cell<RequestId>,
     ids: OpenRequestIds,
-    /// Permits of a KB, and how many there are.
+    /// One permit per KB, and the total number of permits.
     memory: Arc<Semaphore>,
     memory_kb: usize,
-    most: usize,
+    max_connections: usize,
     phase: Rc<ServingPhase>,
     events: mpsc::Sender<NodeInput>,
-    open: RefCell<BTreeMap<u64, Entry>>,
-    closed: Notify,
+    open_connections: RefCell<BTreeMap<u64, ConnectionEntry>>,
+    connection_closed: Notify,
 }
 
-struct Entry {
-    /// When it last sent something or was answered; `None` while an answer is owed to it.
-    idle: Option<Instant>,
-    /// It has sent a command in the agreed form.
-    known: bool,
+struct ConnectionEntry {
+    /// Time of the last input or reply; `None` while a reply is pending or the connection is being evicted.
+    idle_since: Option<Instant>,
+    /// The client has sent a well-formed command.
+    has_sent_command: bool,
     evict: Rc<Notify>,
 }
 
@@ -109,20 +111,20 @@
         site: Site,
         now: Box<dyn Fn() -> Micros>,
         State { phase, figures, share, event_log, tier, membership, binding }: State,
-        (most, memory): (usize, usize),
+        (max_connections, memory): (usize, usize),
         events: mpsc::Sender<NodeInput>,
     ) -> Rc<Self> {
         Rc::new(Clients {
-            began: net.now(),
-            connections: Cell::new(0),
-            commands: Cell::new(0),
+            started_at: net.now(),
+            connections_accepted: Cell::new(0),
+            commands_received: Cell::new(0),
             net,
             tier,
             membership,
             binding,
             site,
             now,
-            taken: Rc::default(),
+            pending_requests: Rc::default(),
             figures,
             event_log,
             share,
@@ -130,62 +132,66 @@
             ids: OpenRequestIds::default(),
             memory: Arc::new(Semaphore::new(memory / 1024)),
             memory_kb: memory / 1024,
-            most,
+            max_connections,
             phase,
             events,
-            open: RefCell::default(),
-            closed: Notify::new(),
+            open_connections: RefCell::default(),
+            connection_closed: Notify::new(),
         })
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub fn count(&self) -> usize {
-        self.open.borrow().len()
+        self.open_connections.borrow().len()
     }
 
-    /// Requests taken and not ended.
+    /// Returns the number of requests without a final reply.
     pub fn pending(&self) -> usize {
-        self.taken.get()
+        self.pending_requests.get()
     }
 
-    /// How many ids are in use.
+    /// Returns the number of request ids in use.
     pub fn ids(&self) -> usize {
         self.ids.borrow().len()
     }
 
-    /// Whether half of the connections that there may be are open.
-    fn crowded(&self) -> bool {
-        self.count() * 2 >= self.most()
+    /// Returns whether at least half of the permitted connections are open.
+    fn is_half_full(&self) -> bool {
+        self.count() * 2 >= self.max_connections()
     }
 
-    /// How many connections there may be: of two processes at once each has its part.
-    fn most(&self) -> usize {
-        Share::of(&self.share.descriptors, self.most).max(1)
+    /// Returns the maximum number of connections of this process; processes that run side by side share the
+    /// node's limit.
+    fn max_connections(&self) -> usize {
+        Share::of(&self.share.descriptors, self.max_connections).max(1)
     }
 
-    /// Memory for a request, unless it is full; of two processes at once each has its part.
-    fn memory(&self, kb: usize) -> Option<OwnedSemaphorePermit> {
-        let others = self.memory_kb - Share::of(&self.share.part, self.memory_kb);
-        let room = self.memory.available_permits() >= kb + others;
-        room.then(|| self.memory.clone().try_acquire_many_owned(kb as u32).ok()).flatten()
+    /// Reserves memory for a request, or returns `None` if it is exhausted; processes that run side by side
+    /// share the node's memory.
+    fn reserve_memory(&self, kb: usize) -> Option<OwnedSemaphorePermit> {
+        let reserved_for_others = self.memory_kb - Share::of(&self.share.part, self.memory_kb);
+        let has_room = self.memory.available_permits() >= kb + reserved_for_others;
+        has_room.then(|| self.memory.clone().try_acquire_many_owned(kb as u32).ok()).flatten()
     }
 
-    /// Waits until a connection has closed.
+    /// Waits until a connection is closed.
     pub async fn one_closed(&self) {
-        self.closed.notified().await;
+        self.connection_closed.notified().await;
     }
 
-    /// Accepts until the phase ends; what the machine has accepted by then is still taken.
+    /// Accepts connections until the phase shuts the listener, then those that are still in its backlog,
+    /// unless they are left to another process.
     pub async fn accept(self: Rc<Self>, listener: N::Listener) {
-        let mut number = 0u64;
-        let mut failing = false;
+        let mut connection_id = 0u64;
+        let mut accept_failing = false;
         loop {
-            if self.count() >= self.most() {
-                // At the limit the connection that has been idle longest gives way; if none is, new ones wait.
+            if self.count() >= self.max_connections() {
+                // At the limit, evict the connection that has been idle longest. If none is idle, new
+                // connections wait.
                 self.evict();
                 tokio::select! {
                     biased;
-                    () = self.closed.notified() => {}
+                    () = self.connection_closed.notified() => {}
                     () = self.net.sleep(ACCEPT_PAUSE) => {}
                     () = self.phase.until_shut() => break,
                 }
@@ -199,24 +205,24 @@
             match accepted {
                 Err(_) if mutation_active(Mutation::AcceptLoopEnds) => return,
                 Ok((stream, _)) => {
-                    failing = false;
-                    number += 1;
-                    self.clone().start(stream, number);
-                    // For each that comes while many are open one that rested longest goes, and another until they
-                    // are fewer: clients may hold fewer than the node could, and those who find all theirs kept by
-                    // others can't even ask.
-                    if self.crowded() {
+                    accept_failing = false;
+                    connection_id += 1;
+                    self.clone().spawn_connection(stream, connection_id);
+                    // Once half of the limit is in use, each new connection evicts up to two idle ones, so
+                    // that the number falls. Clients may be limited to fewer connections than the node, and
+                    // those whose connections are all taken up by others could send nothing.
+                    if self.is_half_full() {
                         self.evict();
                         self.evict();
                     }
                 }
-                // Of one that is gone already: it says nothing about the room for others.
+                // The connection was lost before it was accepted, which says nothing about free resources.
                 Err(e) if AcceptFailure::from(&e) == AcceptFailure::ConnectionLost => {
                     self.net.yield_now().await;
                 }
                 Err(e) => {
-                    // Out of descriptors (EMFILE) or the like: it passes, and the listener must outlive it.
-                    if !std::mem::replace(&mut failing, true) {
+                    // Out of descriptors (EMFILE) or a similar temporary error: the listener must survive it.
+                    if !std::mem::replace(&mut accept_failing, true) {
                         self.net.log(format_args!("accepting failed: {e}; trying again until it succeeds"));
                     }
                     self.evict();
@@ -228,11 +234,12 @@
             return;
         }
         loop {
-            // Whoever waits at the limit was let in by the machine, and may have asked: there is room as others close.
-            while self.count() >= self.most() {
-                self.closed.notified().await;
+            // The kernel has already completed the handshake of connections in the backlog, and their clients
+            // may have sent requests: take them as others close.
+            while self.count() >= self.max_connections() {
+                self.connection_closed.notified().await;
             }
-            // Once round the runtime, which looks at the listener then.
+            // Yield to the runtime once, so that it polls the listener.
             self.net.yield_now().await;
             let accepted = poll_fn(|cx| match listener.poll_accept(cx) {
                 Poll::Ready(accepted) => Poll::Ready(Some(accepted)),
@@ -241,35 +248,40 @@
             match accepted.await {
                 None => return,
                 Some(Ok((stream, _))) => {
-                    number += 1;
-                    self.clone().start(stream, number);
+                    connection_id += 1;
+                    self.clone().spawn_connection(stream, connection_id);
                 }
                 Some(Err(e)) if AcceptFailure::from(&e) == AcceptFailure::ConnectionLost => {}
-                // Out of descriptors: who waits is let in as others close.
+                // Out of descriptors: the rest of the backlog is accepted as other connections close.
                 Some(Err(_)) => self.net.sleep(ACCEPT_PAUSE).await,
             }
         }
     }
 
-    /// Those that sent no whole command go first, or clients that never end one, or never begin, would keep all
-    /// others out; not one that has only just come: where all others are busy it would go before it could ask.
+    /// Evicts the connection that has been idle longest. Connections without a complete command go first,
+    /// otherwise clients that never finish or never send one would keep all others out. Connections that were
+    /// opened only just now are exempt: while all others are busy, they would be evicted before they could
+    /// send a request.
     fn evict(&self) {
-        let mut open = self.open.borrow_mut();
-        let rests = |e: &&mut Entry| e.idle.is_some_and(|since| self.net.since(since) >= ACCEPT_PAUSE);
-        let longest = open.values_mut().filter(rests).min_by_key(|e| (e.known, e.idle));
-        if let Some(entry) = longest {
-            // Not chosen again while it closes: the next one that comes needs another's place.
-            entry.idle = None;
+        let mut open_connections = self.open_connections.borrow_mut();
+        let is_idle = |e: &&mut ConnectionEntry| {
+            e.idle_since.is_some_and(|since| self.net.since(since) >= ACCEPT_PAUSE)
+        };
+        let longest_idle =
+            open_connections.values_mut().filter(is_idle).min_by_key(|e| (e.has_sent_command, e.idle_since));
+        if let Some(entry) = longest_idle {
+            // Not selected again while it closes: the next new connection needs a different one evicted.
+            entry.idle_since = None;
             entry.evict.notify_one();
         }
     }
 
-    /// Counts a request that is turned away before the node is asked, and logs it.
-    fn note_refusal(&self, command: &Command, open_on_connection: usize) {
-        let is_deep = open_on_connection >= MAX_PIPELINE;
-        let reason = if is_deep { RefusalReason::Pipeline } else { RefusalReason::Memory };
+    /// Counts and logs a request that is refused before it reaches the node.
+    fn record_refusal(&self, command: &Command, open_on_connection: usize) {
+        let pipeline_full = open_on_connection >= MAX_PIPELINE;
+        let reason = if pipeline_full { RefusalReason::Pipeline } else { RefusalReason::Memory };
         self.figures.refused(reason);
-        let (request, retry_after_ms) = (command.id_text(), FULL_RETRY_MS);
+        let (request, retry_after_ms) = (command.id_text(), BUSY_RETRY_MS);
         let event = Event::Refused { request: &request, reason, attempts: 0, retry_after_ms };
         if let Some(line) = self.event_log.line(self.net.now(), &event) {
             self.net.log(line);
@@ -283,56 +295,63 @@
         }
     }
 
-    /// A rule was found broken: it is counted, and told in a log that no flood of them fills.
-    fn violated(&self, invariant: Invariant, connection: u64) {
+    /// Counts a violated invariant and logs it; the metrics limit how often it is logged.
+    fn report_violation(&self, invariant: Invariant, connection: u64) {
         if self.figures.violated(invariant) {
             self.net.log(format_args!("invariant {} is broken by connection {connection}", invariant.name()));
         }
     }
 
-    fn start(self: Rc<Self>, stream: N::Stream, number: u64) {
+    fn spawn_connection(self: Rc<Self>, stream: N::Stream, connection_id: u64) {
         if let Err(invariant) = guards::may_start(self.phase.knows_who_is_out()) {
-            self.violated(invariant, number);
+            self.report_violation(invariant, connection_id);
         }
-        self.connections.set(self.connections.get() + 1);
+        self.connections_accepted.set(self.connections_accepted.get() + 1);
         let evict = Rc::new(Notify::new());
-        let entry = Entry { idle: Some(self.net.now()), known: false, evict: evict.clone() };
-        self.open.borrow_mut().insert(number, entry);
+        let entry = ConnectionEntry {
+            idle_since: Some(self.net.now()),
+            has_sent_command: false,
+            evict: evict.clone(),
+        };
+        self.open_connections.borrow_mut().insert(connection_id, entry);
         let net = self.net.clone();
         net.spawn(async move {
             stream.set_nodelay();
-            let (reading, writing) = stream.split();
-            let reading = Rc::new(reading);
+            let (read_half, write_half) = stream.split();
+            let read_half = Rc::new(read_half);
             let pending = VecDeque::new();
-            let told = Told::new(number);
-            let probe = Rc::new(ConnectionProbe::new(reading.clone(), self.net.now()));
+            let connection_state = ConnectionState::new(connection_id);
+            let probe = Rc::new(ConnectionProbe::new(read_half.clone(), self.net.now()));
             let mut session = Session {
                 clients: self.clone(),
-                number,
+                connection_id,
                 pending,
-                asked: 0,
-                known: false,
-                ended: false,
-                large: None,
-                skip: 0,
-                told,
+                forwarded: 0,
+                has_sent_command: false,
+                input_ended: false,
+                large_value_memory: None,
+                bytes_to_skip: 0,
+                connection_state,
                 probe,
             };
-            let reason = session.run(&*reading, writing, evict).await;
+            let reason = session.run(&*read_half, write_half, evict).await;
             self.figures.closed(reason);
-            self.log_close(number, reason, session.pending.len());
-            // All that holds the connection is let go of, so that it closes now.
-            drop(reading);
+            self.log_close(connection_id, reason, session.pending.len());
+            // Drop every handle of the connection, so that it is closed now.
+            drop(read_half);
             let Session { pending, .. } = session;
-            // All are let go of before the first word of it waits for the queue: the node sees that by itself.
-            let asked = |slot: Slot| if let Wait::Node(id, ..) = slot.wait { Some(id) } else { None };
-            let gone: Vec<RequestId> = pending.into_iter().filter_map(asked).collect();
-            for id in gone {
+            // Drop all pending replies before the first send can block on the queue: the cancellation tokens
+            // then report these requests as cancelled.
+            let forwarded_id = |reply: PendingReply| {
+                if let ReplyState::Forwarded(id, ..) = reply.state { Some(id) } else { None }
+            };
+            let cancelled: Vec<RequestId> = pending.into_iter().filter_map(forwarded_id).collect();
+            for id in cancelled {
                 let _ = self.events.send(NodeInput::Client(ClientEvent::Gone(id))).await;
             }
-            self.open.borrow_mut().remove(&number);
-            self.closed.notify_waiters();
-            self.closed.notify_one();
+            self.open_connections.borrow_mut().remove(&connection_id);
+            self.connection_closed.notify_waiters();
+            self.connection_closed.notify_one();
         });
     }
 }
--- a/crates/mothpier/src/clients/commands.rs
+++ b/crates/mothpier/src/clients/commands.rs
@@ -1,4 +1,4 @@
-//! What a client's commands are answered, and which of them go on to the node.
+//! Handles client commands: answers session commands itself and forwards cache requests to the node.
 
 use brassrouter::{Micros, Request};
 use bytes::{Buf, Bytes, BytesMut};
@@ -7,144 +7,149 @@
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::sync::oneshot;
 
-use super::pending::{Slot, Taken, Wait};
+use super::pending::{PendingReply, PendingRequest, ReplyState};
 use super::session::Session;
-use super::{FULL_RETRY_MS, MAX_PIPELINE, REQUEST_KB};
+use super::{BUSY_RETRY_MS, MAX_PIPELINE, REQUEST_MEMORY_KB};
 use crate::cancellation::CancelGuard;
 use crate::membership::Membership;
 use crate::messages::{ClientEvent, Command, NodeInput};
 use crate::metrics::Ended;
 use crate::resp::{self, Malformed};
 
-/// Bytes of answers of slot-aware commands that may wait on one connection: a map of many nodes is long, and a client
-/// that asks for it again and again without reading is cut off.
-const MAX_MAPS: usize = 1 << 20;
+/// Maximum size of locally generated replies that may be queued on one connection, in bytes. The slot map of
+/// a large cluster is long, and a client that requests it repeatedly without reading is disconnected.
+const MAX_QUEUED_REPLY_BYTES: usize = 1 << 20;
 
 impl<N: Net> Session<N> {
-    /// Says what is wrong, behind the answers that are owed, and reads no more.
+    /// Queues an error reply behind the pending ones and stops reading commands.
     pub(super) fn protocol_error(&mut self, error: Malformed) {
-        self.ended = true;
-        self.answer(resp::error(&format!("ERR protocol: {error}")));
+        self.input_ended = true;
+        self.push_reply(resp::error(&format!("ERR protocol: {error}")));
     }
 
-    fn answer(&mut self, bytes: Bytes) {
-        self.pending.push_back(Slot { wait: Wait::Ready(bytes), taken: None });
+    fn push_reply(&mut self, bytes: Bytes) {
+        self.pending.push_back(PendingReply { state: ReplyState::Ready(bytes), pending_request: None });
     }
 
-    pub(super) async fn command(&mut self, frame: BytesFrame, came: Micros) {
-        let word = |f: BytesFrame| match f {
+    pub(super) async fn handle_command(&mut self, frame: BytesFrame, received_at: Micros) {
+        let argument = |f: BytesFrame| match f {
             BytesFrame::BulkString(b) => Some(b),
             _ => None,
         };
-        let words = match frame {
-            BytesFrame::Array(frames) => frames.into_iter().map(word).collect::<Option<Vec<_>>>(),
+        let arguments = match frame {
+            BytesFrame::Array(frames) => frames.into_iter().map(argument).collect::<Option<Vec<_>>>(),
             _ => None,
         };
-        let Some(words) = words.filter(|w| !w.is_empty()) else {
+        let Some(arguments) = arguments.filter(|w| !w.is_empty()) else {
             return self.protocol_error(Malformed("a command is an array of bulk strings"));
         };
-        self.clients.commands.set(self.clients.commands.get() + 1);
-        match words[0].as_ref() {
-            b"CACHE.GET" | b"CACHE.SET" => match self.clients.parse(&words, came) {
+        self.clients.commands_received.set(self.clients.commands_received.get() + 1);
+        match arguments[0].as_ref() {
+            b"CACHE.GET" | b"CACHE.SET" => match self.clients.parse_command(&arguments, received_at) {
                 Ok((request, command)) => {
-                    self.known = true;
-                    self.ask(request, Box::new(command)).await;
+                    self.has_sent_command = true;
+                    self.forward_request(request, Box::new(command)).await;
                 }
-                Err(e) => self.answer(resp::error(&e)),
+                Err(e) => self.push_reply(resp::error(&e)),
             },
-            _ if self.aside(&words) => {}
+            _ if self.answer_session_command(&arguments) => {}
             name if name.eq_ignore_ascii_case(b"PING") => {
-                self.known = true;
-                self.answer(match self.clients.phase.at_work() {
+                self.has_sent_command = true;
+                self.push_reply(match self.clients.phase.at_work() {
                     Ok(()) => Bytes::from_static(b"+PONG\r\n"),
-                    Err(why) => resp::error(&format!("ERR not ready: {why}")),
+                    Err(reason) => resp::error(&format!("ERR not ready: {reason}")),
                 });
             }
             name if name.eq_ignore_ascii_case(b"QUIT") => {
-                self.ended = true;
-                self.answer(Bytes::from_static(b"+OK\r\n"));
+                self.input_ended = true;
+                self.push_reply(Bytes::from_static(b"+OK\r\n"));
             }
-            _ => self.answer(resp::error("ERR unknown command")),
+            _ => self.push_reply(resp::error("ERR unknown command")),
         }
     }
 
-    /// Answers what clients ask as they connect or look round; whether it was that.
-    fn aside(&mut self, words: &[Bytes]) -> bool {
+    /// Answers commands that clients send while they connect or inspect the node. Returns whether it was such
+    /// a command.
+    fn answer_session_command(&mut self, arguments: &[Bytes]) -> bool {
         let clients = self.clients.clone();
-        let words: Vec<&[u8]> = words.iter().map(Bytes::as_ref).collect();
+        let arguments: Vec<&[u8]> = arguments.iter().map(Bytes::as_ref).collect();
         let tier = clients.tier.as_ref().map(|t| t.borrow());
-        // Made only where it is asked for: it has a line for each box.
-        let wanted = words.first().is_some_and(|w| w.eq_ignore_ascii_case(b"INFO"))
-            && words[1..].iter().any(|w| w.eq_ignore_ascii_case(b"SOURCES"));
-        let sources = clients.membership.as_ref().filter(|_| wanted).map(Membership::text);
+        // Built only on request: the text has a line for each cache server.
+        let wants_sources = arguments.first().is_some_and(|w| w.eq_ignore_ascii_case(b"INFO"))
+            && arguments[1..].iter().any(|w| w.eq_ignore_ascii_case(b"SOURCES"));
+        let sources = clients.membership.as_ref().filter(|_| wants_sources).map(Membership::text);
         let facts = Facts {
             sources: sources.as_deref(),
             tier: tier.as_deref(),
-            uptime_s: clients.net.since(clients.began).as_secs(),
+            uptime_s: clients.net.since(clients.started_at).as_secs(),
             clients: clients.count() as u64,
-            most_clients: clients.most() as u64,
-            connections: clients.connections.get(),
-            commands: clients.commands.get(),
+            most_clients: clients.max_connections() as u64,
+            connections: clients.connections_accepted.get(),
+            commands: clients.commands_received.get(),
             open: clients.ids() as u64,
         };
-        let Some(value) = commands::answer(&words, &facts, &mut self.told) else { return false };
-        self.known = true;
-        let waiting = self.pending.iter().map(|slot| match &slot.wait {
-            Wait::Ready(bytes) => bytes.len(),
-            Wait::Node(..) | Wait::Passing(_) => 0,
+        let Some(value) = commands::answer(&arguments, &facts, &mut self.connection_state) else {
+            return false;
+        };
+        self.has_sent_command = true;
+        let queued_sizes = self.pending.iter().map(|reply| match &reply.state {
+            ReplyState::Ready(bytes) => bytes.len(),
+            ReplyState::Forwarded(..) | ReplyState::Streaming(_) => 0,
         });
-        if waiting.sum::<usize>() > MAX_MAPS {
+        if queued_sizes.sum::<usize>() > MAX_QUEUED_REPLY_BYTES {
             self.protocol_error(Malformed("too many long answers wait"));
         } else {
-            // In the version that holds from here on: what was read before is answered in the one of then.
-            self.answer(value.encode(self.told.version()).into());
+            // Encoded in the protocol version in effect from this command on; earlier commands were answered
+            // in the version in effect at their time.
+            self.push_reply(value.encode(self.connection_state.version()).into());
         }
         true
     }
 
-    /// Makes room for a command with a large value, or turns it away before the value is read.
-    pub(super) fn large(&mut self, large: resp::LargeCommand, buffer: &mut BytesMut) {
+    /// Reserves memory for a command with a large value, or refuses it before the value is read.
+    pub(super) fn begin_large_command(&mut self, large: resp::LargeCommand, buffer: &mut BytesMut) {
         let kb = large.length.div_ceil(1024);
-        if let Some(memory) = self.clients.memory(REQUEST_KB + kb) {
-            // Once, or it would be copied as it grows.
+        if let Some(memory) = self.clients.reserve_memory(REQUEST_MEMORY_KB + kb) {
+            // Reserve the whole size once: growing the buffer step by step would copy it each time.
             buffer.reserve((large.head + large.length + 2).saturating_sub(buffer.len()));
-            self.large = Some(memory);
+            self.large_value_memory = Some(memory);
             return;
         }
         buffer.advance(large.head);
-        self.skip = large.length + 2;
-        let words: Vec<Bytes> = large.words.into_iter().chain([Bytes::new()]).collect();
-        let known = matches!(words[0].as_ref(), b"CACHE.GET" | b"CACHE.SET");
-        let parsed = known.then(|| self.clients.parse(&words, (self.clients.now)()));
+        self.bytes_to_skip = large.length + 2;
+        let arguments: Vec<Bytes> = large.arguments.into_iter().chain([Bytes::new()]).collect();
+        let is_cache_command = matches!(arguments[0].as_ref(), b"CACHE.GET" | b"CACHE.SET");
+        let parsed = is_cache_command.then(|| self.clients.parse_command(&arguments, (self.clients.now)()));
         match parsed {
             Some(Ok((request, command))) => {
-                self.known = true;
-                self.clients.note_refusal(&command, self.asked);
-                let taken = Some(Taken::of(request.class, &self.clients.taken, None));
-                let wait = Wait::Ready(resp::error(&format!("BUSY {FULL_RETRY_MS}")));
-                self.pending.push_back(Slot { wait, taken });
+                self.has_sent_command = true;
+                self.clients.record_refusal(&command, self.forwarded);
+                let pending_request =
+                    Some(PendingRequest::new(request.class, &self.clients.pending_requests, None));
+                let state = ReplyState::Ready(resp::error(&format!("BUSY {BUSY_RETRY_MS}")));
+                self.pending.push_back(PendingReply { state, pending_request });
             }
-            Some(Err(e)) => self.answer(resp::error(&e)),
-            None => self.answer(resp::error("ERR unknown command")),
+            Some(Err(e)) => self.push_reply(resp::error(&e)),
+            None => self.push_reply(resp::error("ERR unknown command")),
         }
     }
 
-    async fn ask(&mut self, request: Request, mut command: Box<Command>) {
-        // Memory is bounded by what open requests may hold, and one connection by its own part of them; what is
-        // beyond never runs, and is told so instead of being left unread.
-        let holds = REQUEST_KB + command.value.as_ref().map_or(0, Bytes::len).div_ceil(1024);
-        let memory = match self.asked < MAX_PIPELINE
+    async fn forward_request(&mut self, request: Request, mut command: Box<Command>) {
+        // Memory is bounded by what open requests may reserve, and each connection has a limit of its own. A
+        // request beyond these limits is not run; it is refused instead of being left unread.
+        let required_kb = REQUEST_MEMORY_KB + command.value.as_ref().map_or(0, Bytes::len).div_ceil(1024);
+        let memory = match self.forwarded < MAX_PIPELINE
             && self.clients.ids.borrow().len() <= self.clients.site.max_open
         {
-            // A large value has brought its own.
-            true => self.large.take().or_else(|| self.clients.memory(holds)),
+            // Memory for a large value has been reserved already.
+            true => self.large_value_memory.take().or_else(|| self.clients.reserve_memory(required_kb)),
             false => None,
         };
-        let mut taken = Taken::of(request.class, &self.clients.taken, memory);
-        if taken.memory.is_none() {
-            self.clients.note_refusal(&command, self.asked);
-            let wait = Wait::Ready(resp::error(&format!("BUSY {FULL_RETRY_MS}")));
-            return self.pending.push_back(Slot { wait, taken: Some(taken) });
+        let mut pending_request = PendingRequest::new(request.class, &self.clients.pending_requests, memory);
+        if pending_request.memory.is_none() {
+            self.clients.record_refusal(&command, self.forwarded);
+            let state = ReplyState::Ready(resp::error(&format!("BUSY {BUSY_RETRY_MS}")));
+            return self.pending.push_back(PendingReply { state, pending_request: Some(pending_request) });
         }
         let (answer, receiver) = oneshot::channel();
         let guard = CancelGuard::new(self.probe.clone());
@@ -157,12 +162,15 @@
             .await
             .is_err()
         {
-            taken.memory = None;
-            taken.ended = Ended::Failed;
-            let wait = Wait::Ready(resp::error("ERR stopping"));
-            return self.pending.push_back(Slot { wait, taken: Some(taken) });
+            pending_request.memory = None;
+            pending_request.outcome = Ended::Failed;
+            let state = ReplyState::Ready(resp::error("ERR stopping"));
+            return self.pending.push_back(PendingReply { state, pending_request: Some(pending_request) });
         }
-        self.asked += 1;
-        self.pending.push_back(Slot { wait: Wait::Node(id, receiver, guard), taken: Some(taken) });
+        self.forwarded += 1;
+        self.pending.push_back(PendingReply {
+            state: ReplyState::Forwarded(id, receiver, guard),
+            pending_request: Some(pending_request),
+        });
     }
 }
--- a/crates/mothpier/src/clients/pending.rs
+++ b/crates/mothpier/src/clients/pending.rs
@@ -1,4 +1,4 @@
-//! What a client's connection owes: its answers, in the order of the commands.
+//! The replies that a client's connection still has to send, in the order of the commands.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -17,68 +17,77 @@
 use crate::metrics::Ended;
 use crate::resp;
 
-/// Answers that are ready are put into one write up to about this size.
-const WRITE: usize = 64 * 1024;
+/// Ready replies are combined into one write of about this size, in bytes.
+const MAX_WRITE_BYTES: usize = 64 * 1024;
 
-pub(super) enum Wait {
+pub(super) enum ReplyState {
     Ready(Bytes),
-    /// A value that is passed on as it comes.
-    Passing(StreamedValue),
-    Node(RequestId, oneshot::Receiver<Answer>, #[allow(dead_code, reason = "held for its drop")] CancelGuard),
+    /// A value that is forwarded while it is being received.
+    Streaming(StreamedValue),
+    /// Waits for the node's answer.
+    Forwarded(
+        RequestId,
+        oneshot::Receiver<Answer>,
+        #[allow(dead_code, reason = "held for its drop")] CancelGuard,
+    ),
 }
 
-/// A request of a class: it is pending for as long as this lives.
-pub(super) struct Taken {
+/// A cache request, counted as pending until this is dropped.
+pub(super) struct PendingRequest {
     pub(super) class: usize,
-    pub(super) ended: Ended,
-    pub(super) pending: Rc<Cell<usize>>,
-    /// Held until the answer is written; only requests that went on have it.
+    pub(super) outcome: Ended,
+    pub(super) pending_count: Rc<Cell<usize>>,
+    /// Reserved until the reply is written; `None` unless the request was forwarded to the node.
     pub(super) memory: Option<OwnedSemaphorePermit>,
 }
 
-impl Taken {
-    pub(super) fn of(class: usize, pending: &Rc<Cell<usize>>, memory: Option<OwnedSemaphorePermit>) -> Self {
-        pending.set(pending.get() + 1);
-        Taken { class, ended: Ended::Rejected, pending: pending.clone(), memory }
+impl PendingRequest {
+    pub(super) fn new(
+        class: usize,
+        pending_count: &Rc<Cell<usize>>,
+        memory: Option<OwnedSemaphorePermit>,
+    ) -> Self {
+        pending_count.set(pending_count.get() + 1);
+        PendingRequest { class, outcome: Ended::Rejected, pending_count: pending_count.clone(), memory }
     }
 }
 
-impl Drop for Taken {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        self.pending.set(self.pending.get() - 1);
+        self.pending_count.set(self.pending_count.get() - 1);
     }
 }
 
-pub(super) struct Slot {
-    pub(super) wait: Wait,
-    /// What is answered, where it is a request of a class.
-    pub(super) taken: Option<Taken>,
+pub(super) struct PendingReply {
+    pub(super) state: ReplyState,
+    /// The request that is answered; `None` for other commands.
+    pub(super) pending_request: Option<PendingRequest>,
 }
 
-impl Slot {
-    pub(super) fn went_on(&self) -> bool {
-        self.taken.as_ref().is_some_and(|t| t.memory.is_some())
+impl PendingReply {
+    pub(super) fn was_forwarded(&self) -> bool {
+        self.pending_request.as_ref().is_some_and(|request| request.memory.is_some())
     }
 }
 
-/// How many answers are ready at the front, once one is. Safe to drop and call again.
-pub(super) async fn ready_answers(pending: &mut VecDeque<Slot>) -> usize {
+/// Waits until the first reply is ready and returns how many at the front are. Cancel-safe.
+pub(super) async fn count_ready_replies(pending: &mut VecDeque<PendingReply>) -> usize {
     poll_fn(|cx| {
         let (mut ready, mut size) = (0, 0);
-        for slot in pending.iter_mut() {
-            if let Wait::Node(_, receiver, _) = &mut slot.wait {
+        for reply in pending.iter_mut() {
+            if let ReplyState::Forwarded(_, receiver, _) = &mut reply.state {
                 let Poll::Ready(answer) = Pin::new(receiver).poll(cx) else { break };
-                if let Some(taken) = &mut slot.taken {
-                    taken.ended = match &answer {
+                if let Some(pending_request) = &mut reply.pending_request {
+                    pending_request.outcome = match &answer {
                         Ok(Answer::Value(_) | Answer::Streamed(_)) => Ended::Completed,
                         Ok(Answer::Busy(_)) => Ended::Rejected,
                         Ok(Answer::Failed) | Err(_) => Ended::Failed,
                     };
                 }
-                slot.wait = Wait::Ready(match answer {
+                reply.state = ReplyState::Ready(match answer {
                     Ok(Answer::Streamed(value)) => {
-                        slot.wait = Wait::Passing(value);
-                        // Alone, once it is at the front.
+                        reply.state = ReplyState::Streaming(value);
+                        // A streamed value is written on its own, once it is at the front.
                         ready += usize::from(ready == 0);
                         break;
                     }
@@ -88,13 +97,13 @@
                     Ok(Answer::Failed) | Err(_) => resp::error("ERR failed"),
                 });
             }
-            if matches!(slot.wait, Wait::Passing(_)) {
+            if matches!(reply.state, ReplyState::Streaming(_)) {
                 ready += usize::from(ready == 0);
                 break;
             }
-            let Wait::Ready(bytes) = &slot.wait else { break };
+            let ReplyState::Ready(bytes) = &reply.state else { break };
             (ready, size) = (ready + 1, size + bytes.len());
-            if size >= WRITE {
+            if size >= MAX_WRITE_BYTES {
                 break;
             }
         }
--- a/crates/mothpier/src/clients/session.rs
+++ b/crates/mothpier/src/clients/session.rs
@@ -1,4 +1,4 @@
-//! One client's connection, from its first byte to its close.
+//! Serves one client connection from its first byte until it is closed.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -6,253 +6,289 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use mothpier_net::{Net, ReadHalf};
-use mothpier_session::Connection as Told;
+use mothpier_session::Connection as ConnectionState;
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 
 use super::Clients;
-use super::pending::{Slot, Wait, ready_answers};
-use super::socket::{Unread, gone, part, pass_on, quiet, read};
+use super::pending::{PendingReply, ReplyState, count_ready_replies};
+use super::socket::{
+    UnreadInput, client_gone, close_gracefully, no_input_pending, receive, write_streamed_value,
+};
 use crate::cancellation::ConnectionProbe;
 use crate::guards;
 use crate::metrics::CloseReason;
-use crate::resp::{self, MAX_PASSED, MAX_VALUE, Malformed};
+use crate::resp::{self, MAX_STREAMED_VALUE, MAX_VALUE, Malformed};
 use crate::{Mutation, mutation_active};
 
-/// Answers of one connection that may wait, refusals and errors too; a client that goes on beyond is cut off.
-const MAX_WAITING: usize = 1024;
-/// A client that takes none of its answer for this long is cut off.
-pub(super) const SLOW_READER: Duration = Duration::from_secs(10);
-/// A first command, and the rest of one that has begun, must come within this time: bad clients are owed an
-/// error or a close within 3 s.
-const HALF: Duration = Duration::from_secs(2);
-/// A connection that comes when others close has so long to ask.
-const FIRST: Duration = Duration::from_millis(300);
-/// A connection that asks nothing for so long is closed: some clients keep theirs for good. The shorter time holds
-/// once half of the connections that there may be are open, for clients can hold only so many and those that are
-/// kept keep others out.
-const IDLE: (Duration, Duration) = (Duration::from_secs(10), Duration::from_millis(2100));
-/// How often an idle connection looks whether many have become open meanwhile.
-const IDLE_LOOK: Duration = Duration::from_millis(250);
+/// Maximum number of replies queued on one connection, refusals and errors included; a client that exceeds it
+/// is disconnected.
+const MAX_PENDING_REPLIES: usize = 1024;
+/// A client that does not accept a write within this time is disconnected.
+pub(super) const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for the first command, and for the rest of a command that has arrived in part: misbehaving clients
+/// must get an error or a close within 3 s.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a new connection may take to send its first command while connections are being closed.
+const DRAINING_FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(300);
+/// A connection without requests for this long is closed, since some clients never close theirs.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Idle timeout once half of the permitted connections are open: clients have a limited number of
+/// connections, and idle ones keep others out.
+const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
+/// How often an idle connection checks whether the shorter idle timeout has come into effect.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 pub(super) struct Session<N> {
     pub(super) clients: Rc<Clients<N>>,
-    pub(super) number: u64,
+    pub(super) connection_id: u64,
     /// In the order of the commands.
-    pub(super) pending: VecDeque<Slot>,
-    /// How many of them are requests that went on.
-    pub(super) asked: usize,
-    /// It has sent a command in the agreed form.
-    pub(super) known: bool,
-    /// No more commands are read: the last answer closes.
-    pub(super) ended: bool,
-    /// The command that is coming has a large value, for which this memory is held.
-    pub(super) large: Option<OwnedSemaphorePermit>,
-    /// Bytes still to come of a value that was turned away.
-    pub(super) skip: usize,
-    /// What a slot-aware client has told of its connection.
-    pub(super) told: Told,
-    /// Asked right before anything is written for this client.
+    pub(super) pending: VecDeque<PendingReply>,
+    /// Number of pending requests that were forwarded to the node.
+    pub(super) forwarded: usize,
+    /// The client has sent a well-formed command.
+    pub(super) has_sent_command: bool,
+    /// No more commands are read; the connection closes after the last reply.
+    pub(super) input_ended: bool,
+    /// Memory reserved for the large value of the command that is being received.
+    pub(super) large_value_memory: Option<OwnedSemaphorePermit>,
+    /// Remaining bytes of a refused value, which are discarded.
+    pub(super) bytes_to_skip: usize,
+    /// Protocol version and client attributes set by session commands.
+    pub(super) connection_state: ConnectionState,
+    /// Checks, before anything is sent on behalf of this client, that the connection is still open.
     pub(super) probe: Rc<ConnectionProbe>,
 }
 
 impl<N: Net> Session<N> {
     pub(super) async fn run<R: ReadHalf, W: AsyncWrite + Unpin>(
         &mut self,
-        reading: &R,
-        mut writing: W,
+        read_half: &R,
+        mut write_half: W,
         evict: Rc<Notify>,
     ) -> CloseReason {
         let clients = self.clients.clone();
         let net = clients.net.clone();
         let mut buffer = BytesMut::new();
-        let mut came = (clients.now)();
-        let connected = net.now();
-        // When the command that has not all come yet began to.
-        let mut begun = None;
-        // Since when nothing was asked and nothing owed.
-        let mut rests = connected;
+        let mut received_at = (clients.now)();
+        let connected_at = net.now();
+        // When the first bytes of the command that is incomplete so far arrived.
+        let mut partial_since = None;
+        // Time of the last input or reply.
+        let mut last_activity = connected_at;
         loop {
-            while !self.ended && !buffer.is_empty() {
-                let skipped = self.skip.min(buffer.len());
+            while !self.input_ended && !buffer.is_empty() {
+                let skipped = self.bytes_to_skip.min(buffer.len());
                 buffer.advance(skipped);
-                self.skip -= skipped;
-                if self.skip > 0 || buffer.is_empty() {
+                self.bytes_to_skip -= skipped;
+                if self.bytes_to_skip > 0 || buffer.is_empty() {
                     break;
                 }
-                let most = if self.large.is_some() { MAX_PASSED } else { MAX_VALUE };
-                match resp::take_command(&mut buffer, most) {
+                let max_value =
+                    if self.large_value_memory.is_some() { MAX_STREAMED_VALUE } else { MAX_VALUE };
+                match resp::take_command(&mut buffer, max_value) {
                     Ok(Some(frame)) => {
-                        begun = None;
-                        // It may wait for the queue.
+                        partial_since = None;
+                        // Forwarding a command may block on the node's queue.
                         tokio::select! {
                             biased;
-                            () = self.command(frame, came) => {}
-                            () = gone(&net, reading, Unread::Left) => return CloseReason::ClientGone,
+                            () = self.handle_command(frame, received_at) => {}
+                            () = client_gone(&net, read_half, UnreadInput::LeftUnread) => {
+                                return CloseReason::ClientGone;
+                            }
                         }
-                        self.large = None;
+                        self.large_value_memory = None;
                     }
                     Ok(None) => break,
-                    Err(e) => match resp::large_command(&buffer).filter(|_| self.large.is_none()) {
-                        Some(large) => self.large(large, &mut buffer),
+                    Err(e) => match resp::parse_large_command(&buffer)
+                        .filter(|_| self.large_value_memory.is_none())
+                    {
+                        Some(large) => self.begin_large_command(large, &mut buffer),
                         None => self.protocol_error(e),
                     },
                 }
-                if self.pending.len() > MAX_WAITING {
+                if self.pending.len() > MAX_PENDING_REPLIES {
                     self.protocol_error(Malformed("too many commands at once"));
                 }
             }
-            if self.skip > 0 {
-                begun.get_or_insert_with(|| net.now());
-            } else if self.ended || buffer.is_empty() {
-                begun = None;
-                // An idle connection must not keep the room that its largest command took.
+            if self.bytes_to_skip > 0 {
+                partial_since.get_or_insert_with(|| net.now());
+            } else if self.input_ended || buffer.is_empty() {
+                partial_since = None;
+                // An idle connection must not keep the buffer of its largest command.
                 buffer = BytesMut::new();
             } else {
-                begun.get_or_insert_with(|| net.now());
+                partial_since.get_or_insert_with(|| net.now());
             }
-            let idle = self.pending.is_empty();
+            let is_idle = self.pending.is_empty();
             let now = net.now();
-            if let Some(entry) = clients.open.borrow_mut().get_mut(&self.number) {
-                (entry.idle, entry.known) = (idle.then_some(rests), self.known);
+            if let Some(entry) = clients.open_connections.borrow_mut().get_mut(&self.connection_id) {
+                (entry.idle_since, entry.has_sent_command) =
+                    (is_idle.then_some(last_activity), self.has_sent_command);
             }
-            if self.ended && idle {
-                part(&net, reading, &mut writing, Unread::Dropped).await;
+            if self.input_ended && is_idle {
+                close_gracefully(&net, read_half, &mut write_half, UnreadInput::Discarded).await;
                 return CloseReason::Ended;
             }
-            let word = clients.phase.word();
+            let phase_changed = clients.phase.word();
             let closing = clients.phase.closing() && !mutation_active(Mutation::KeptIdle);
-            // One that is never between two requests is read no further once those who close have had their time, but for
-            // the rest of a command that had begun by then: behind every whole one may stand a part of the next.
-            let cut = clients.phase.cut().filter(|cut| match begun {
-                None => !idle && !self.ended,
-                Some(begun) => self.known && begun >= *cut && !self.ended,
+            // A connection that always has open requests is read no further once the others have had time to
+            // close, except for the rest of a command that had begun by then: each complete command may be
+            // followed by part of the next one.
+            let read_cutoff = clients.phase.cut().filter(|read_cutoff| match partial_since {
+                None => !is_idle && !self.input_ended,
+                Some(partial_since) => {
+                    self.has_sent_command && partial_since >= *read_cutoff && !self.input_ended
+                }
             });
-            if idle && cut.is_some() {
-                part(&net, reading, &mut writing, Unread::Left).await;
+            if is_idle && read_cutoff.is_some() {
+                close_gracefully(&net, read_half, &mut write_half, UnreadInput::LeftUnread).await;
                 return CloseReason::Draining;
             }
-            let reads = !self.ended && cut.is_none_or(|cut| now < cut);
-            let first = (!self.known && idle).then_some(connected + HALF);
-            // A large value may take as long as it goes on coming.
-            let coming = self.large.is_some() || self.skip > 0;
-            let half = begun
-                .filter(|_| !self.ended && !mutation_active(Mutation::HalfCommandKept))
-                .map(|since| if coming { rests } else { since } + HALF);
-            // A connection that has only just come is about to ask: it may be a front that asks whether the node is back.
-            let asks = !self.known && (!clients.phase.is_shut() || clients.phase.is_left());
-            let rest = idle.then_some(if closing && begun.is_none() {
-                if asks { connected + FIRST } else { now }
-            } else if rests + IDLE.1 > now || clients.crowded() {
-                rests + IDLE.1
+            let may_read = !self.input_ended && read_cutoff.is_none_or(|read_cutoff| now < read_cutoff);
+            let first_command_deadline =
+                (!self.has_sent_command && is_idle).then_some(connected_at + COMMAND_TIMEOUT);
+            // A large value may take any time as long as bytes keep arriving.
+            let receiving_large_value = self.large_value_memory.is_some() || self.bytes_to_skip > 0;
+            let command_deadline = partial_since
+                .filter(|_| !self.input_ended && !mutation_active(Mutation::HalfCommandKept))
+                .map(|since| if receiving_large_value { last_activity } else { since } + COMMAND_TIMEOUT);
+            // A connection that was opened only just now is about to send a command: it may be a load
+            // balancer checking whether the node is ready again.
+            let expects_first_command =
+                !self.has_sent_command && (!clients.phase.is_shut() || clients.phase.is_left());
+            let idle_deadline = is_idle.then_some(if closing && partial_since.is_none() {
+                if expects_first_command { connected_at + DRAINING_FIRST_COMMAND_TIMEOUT } else { now }
+            } else if last_activity + CROWDED_IDLE_TIMEOUT > now || clients.is_half_full() {
+                last_activity + CROWDED_IDLE_TIMEOUT
             } else {
-                // Looked at again meanwhile: others may have come.
-                (now + IDLE_LOOK).min(rests + IDLE.0)
+                // Checked again at intervals, since connections may be opened meanwhile.
+                (now + IDLE_CHECK_INTERVAL).min(last_activity + IDLE_TIMEOUT)
             });
-            let limit = [first, half, rest, cut.filter(|_| reads)].into_iter().flatten().min();
+            let next_deadline =
+                [first_command_deadline, command_deadline, idle_deadline, read_cutoff.filter(|_| may_read)]
+                    .into_iter()
+                    .flatten()
+                    .min();
             tokio::select! {
                 biased;
-                ready = ready_answers(&mut self.pending), if !idle => {
-                    let bytes = self.take_answers(ready);
-                    let (held, mut came_meanwhile) = (!buffer.is_empty(), None);
+                ready = count_ready_replies(&mut self.pending), if !is_idle => {
+                    let bytes = self.take_replies(ready);
+                    let (had_buffered_input, mut received_meanwhile) = (!buffer.is_empty(), None);
                     let probe = self.probe.clone();
-                    let mut note = || {
-                        came_meanwhile.get_or_insert_with(|| (clients.now)());
-                        probe.stands(net.now());
+                    let mut on_input = || {
+                        received_meanwhile.get_or_insert_with(|| (clients.now)());
+                        probe.mark_open(net.now());
                     };
-                    let unread = match (self.ended, reads) {
-                        (true, _) => Unread::Dropped,
-                        (_, true) => Unread::Kept(&mut buffer, &mut note),
-                        (_, false) => Unread::Left,
+                    let unread_input = match (self.input_ended, may_read) {
+                        (true, _) => UnreadInput::Discarded,
+                        (_, true) => UnreadInput::Buffered(&mut buffer, &mut on_input),
+                        (_, false) => UnreadInput::LeftUnread,
                     };
                     let write = async {
-                        match self.pending.front_mut().map(|slot| &mut slot.wait) {
-                            Some(Wait::Passing(value)) => Some(pass_on(&net, &mut writing, value).await),
-                            _ => net.timeout(SLOW_READER, writing.write_all(&bytes)).await,
+                        match self.pending.front_mut().map(|reply| &mut reply.state) {
+                            Some(ReplyState::Streaming(value)) => {
+                                Some(write_streamed_value(&net, &mut write_half, value).await)
+                            }
+                            _ => net.timeout(SLOW_READER_TIMEOUT, write_half.write_all(&bytes)).await,
                         }
                     };
-                    // Who takes nothing of its answer may have gone, with others behind it that wait at the node.
-                    let whole = tokio::select! {
+                    // A client that accepts nothing of its reply may have closed the connection while further
+                    // requests of it wait at the node.
+                    let written = tokio::select! {
                         biased;
-                        whole = write => whole,
-                        () = gone(&net, reading, unread) => return CloseReason::ClientGone,
+                        written = write => written,
+                        () = client_gone(&net, read_half, unread_input) => return CloseReason::ClientGone,
                     };
-                    if let Some(at) = came_meanwhile.filter(|_| !held) {
-                        came = at;
+                    if let Some(at) = received_meanwhile.filter(|_| !had_buffered_input) {
+                        received_at = at;
                     }
-                    rests = net.now();
-                    let ended = self.pending.drain(..ready).filter_map(|slot| slot.taken);
-                    match whole {
+                    last_activity = net.now();
+                    let answered = self.pending.drain(..ready).filter_map(|reply| reply.pending_request);
+                    match written {
                         Some(Ok(())) => {}
                         Some(Err(_)) => return CloseReason::ClientGone,
                         None => return CloseReason::SlowReader,
                     }
-                    ended.for_each(|taken| clients.figures.ended(taken.class, taken.ended));
-                    let cut = clients.phase.cut().filter(|cut| *cut <= net.now());
-                    if cut.is_some_and(|cut| begun.map_or(buffer.is_empty(), |begun| begun >= cut))
-                        && self.pending.is_empty()
+                    answered.for_each(|request| clients.figures.ended(request.class, request.outcome));
+                    let read_cutoff = clients.phase.cut().filter(|read_cutoff| *read_cutoff <= net.now());
+                    if read_cutoff.is_some_and(|cutoff| {
+                        partial_since.map_or(buffer.is_empty(), |partial_since| partial_since >= cutoff)
+                    }) && self.pending.is_empty()
                     {
-                        part(&net, reading, &mut writing, Unread::Left).await;
+                        close_gracefully(&net, read_half, &mut write_half, UnreadInput::LeftUnread).await;
                         return CloseReason::Draining;
                     }
                 }
-                more = read(reading, &mut buffer), if reads => {
-                    // A client that closes has gone away: what it asked for is not wanted any more.
-                    if !more {
+                still_open = receive(read_half, &mut buffer), if may_read => {
+                    // A closed connection cancels the client's requests.
+                    if !still_open {
                         return CloseReason::ClientGone;
                     }
-                    (came, rests) = ((clients.now)(), net.now());
-                    self.probe.stands(rests);
+                    (received_at, last_activity) = ((clients.now)(), net.now());
+                    self.probe.mark_open(last_activity);
                 }
-                // What is not read is watched all the same, for the requests that wait.
-                () = gone(&net, reading, if self.ended { Unread::Dropped } else { Unread::Left }), if !reads => {
+                // Unread input is still watched for a close, so that the pending requests can be cancelled.
+                () = client_gone(
+                    &net,
+                    read_half,
+                    if self.input_ended { UnreadInput::Discarded } else { UnreadInput::LeftUnread },
+                ), if !may_read => {
                     return CloseReason::ClientGone;
                 }
-                () = evict.notified(), if idle => {
-                    if quiet(&net, reading, &mut buffer).await {
-                        return self.closes(CloseReason::Evicted);
+                () = evict.notified(), if is_idle => {
+                    if no_input_pending(&net, read_half, &mut buffer).await {
+                        return self.checked_close(CloseReason::Evicted);
                     }
-                    (came, rests) = ((clients.now)(), net.now());
+                    (received_at, last_activity) = ((clients.now)(), net.now());
                 }
-                () = net.sleep_until(limit.unwrap_or(now)), if limit.is_some() => {
-                    if cut.is_some_and(|cut| cut <= net.now()) {
-                        // Read no further from here on.
-                    } else if !quiet(&net, reading, &mut buffer).await {
-                        (came, rests) = ((clients.now)(), net.now());
-                    } else if half.is_some_and(|half| half <= net.now()) {
+                () = net.sleep_until(next_deadline.unwrap_or(now)), if next_deadline.is_some() => {
+                    if read_cutoff.is_some_and(|read_cutoff| read_cutoff <= net.now()) {
+                        // Nothing is read from here on.
+                    } else if !no_input_pending(&net, read_half, &mut buffer).await {
+                        (received_at, last_activity) = ((clients.now)(), net.now());
+                    } else if command_deadline.is_some_and(|command_deadline| command_deadline <= net.now()) {
                         self.protocol_error(Malformed("the rest of the command has not come"));
-                    } else if !self.known || closing || clients.crowded() || net.since(rests) >= IDLE.0 {
-                        return self.closes(if closing { CloseReason::Draining } else { CloseReason::Idle });
+                    } else if !self.has_sent_command
+                        || closing
+                        || clients.is_half_full()
+                        || net.since(last_activity) >= IDLE_TIMEOUT
+                    {
+                        return self
+                            .checked_close(if closing { CloseReason::Draining } else { CloseReason::Idle });
                     }
                 }
-                () = word, if !closing => {}
+                () = phase_changed, if !closing => {}
             }
         }
     }
 
-    /// The node closes the connection by its own choice.
-    fn closes(&self, reason: CloseReason) -> CloseReason {
+    /// Checks the invariant of closing for a connection that the node closes on its own initiative, and
+    /// returns `reason`.
+    fn checked_close(&self, reason: CloseReason) -> CloseReason {
         if let Err(invariant) = guards::may_close(self.pending.len()) {
-            self.clients.violated(invariant, self.number);
+            self.clients.report_violation(invariant, self.connection_id);
         }
         reason
     }
 
-    /// Marks the answers as taken and gives their bytes.
-    fn take_answers(&mut self, ready: usize) -> Bytes {
-        let mut all = BytesMut::new();
-        for slot in self.pending.iter().take(ready) {
-            self.asked -= usize::from(slot.went_on());
-            match &slot.wait {
-                Wait::Ready(bytes) if mutation_active(Mutation::DoubleAnswer) && slot.went_on() => {
-                    all.extend_from_slice(bytes);
-                    all.extend_from_slice(bytes);
+    /// Takes the first `ready` replies off the count of forwarded requests and returns their bytes.
+    fn take_replies(&mut self, ready: usize) -> Bytes {
+        let mut combined = BytesMut::new();
+        for reply in self.pending.iter().take(ready) {
+            self.forwarded -= usize::from(reply.was_forwarded());
+            match &reply.state {
+                ReplyState::Ready(bytes)
+                    if mutation_active(Mutation::DoubleAnswer) && reply.was_forwarded() =>
+                {
+                    combined.extend_from_slice(bytes);
+                    combined.extend_from_slice(bytes);
                 }
-                Wait::Ready(bytes) if ready == 1 => return bytes.clone(),
-                Wait::Ready(bytes) => all.extend_from_slice(bytes),
-                Wait::Node(..) | Wait::Passing(_) => {}
+                ReplyState::Ready(bytes) if ready == 1 => return bytes.clone(),
+                ReplyState::Ready(bytes) => combined.extend_from_slice(bytes),
+                ReplyState::Forwarded(..) | ReplyState::Streaming(_) => {}
             }
         }
-        all.freeze()
+        combined.freeze()
     }
 }
--- a/crates/mothpier/src/clients/socket.rs
+++ b/crates/mothpier/src/clients/socket.rs
@@ -1,4 +1,4 @@
-//! Reading from a client's socket, seeing that it has gone, and parting from it without a reset.
+//! Reads from a client's socket, detects that the client has closed it, and closes it without a reset.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -7,51 +7,53 @@
 use mothpier_net::{Net, ReadHalf};
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 
-use super::session::SLOW_READER;
+use super::session::SLOW_READER_TIMEOUT;
 use crate::messages::StreamedValue;
 use crate::{Mutation, mutation_active};
 
-/// Read from a connection at once.
-const READ: usize = 4096;
-/// Read ahead from a client while an answer is written to it.
-const AHEAD: usize = 64 * 1024;
-/// How often it is looked whether a client has gone that sent more than is read: nothing may be begun for it 0.1 s later.
-const LOOK: Duration = Duration::from_millis(20);
-/// A client has so long to close its side, once this one has.
-const PARTING: Duration = Duration::from_millis(200);
+/// Bytes read from a connection at once.
+const READ_SIZE: usize = 4096;
+/// Maximum number of bytes read ahead from a client while a reply is written to it.
+const MAX_READ_AHEAD: usize = 64 * 1024;
+/// How often a connection with unread input is checked for a close by the client: no new attempt may start
+/// later than 0.1 s after that close.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long to wait for the client to close its side after this side has been shut down.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Writes a value as its parts come. Where the rest doesn't come, or the client takes none of it, the connection has to end:
-/// so the client can tell that it is not whole.
-pub(super) async fn pass_on(
+/// Writes a value to the client as its parts arrive. If the rest does not arrive, or the client stops
+/// reading, this returns an error and the connection must be closed, so that the client sees that the value
+/// is incomplete.
+pub(super) async fn write_streamed_value(
     net: &impl Net,
-    writing: &mut (impl AsyncWrite + Unpin),
+    write_half: &mut (impl AsyncWrite + Unpin),
     value: &mut StreamedValue,
 ) -> std::io::Result<()> {
     let mut write = async |bytes: &[u8]| {
-        let whole = net.timeout(SLOW_READER, writing.write_all(bytes)).await;
-        whole.unwrap_or_else(|| Err(ErrorKind::TimedOut.into()))
+        let written = net.timeout(SLOW_READER_TIMEOUT, write_half.write_all(bytes)).await;
+        written.unwrap_or_else(|| Err(ErrorKind::TimedOut.into()))
     };
     write(format!("${}\r\n", value.length).as_bytes()).await?;
-    let mut left = value.length;
-    while let Some(part) = value.parts.recv().await {
-        left = left.saturating_sub(part.len());
-        write(&part).await?;
+    let mut remaining = value.length;
+    while let Some(chunk) = value.parts.recv().await {
+        remaining = remaining.saturating_sub(chunk.len());
+        write(&chunk).await?;
     }
-    if left > 0 && !mutation_active(Mutation::CutIsWhole) {
+    if remaining > 0 && !mutation_active(Mutation::CutIsWhole) {
         return Err(ErrorKind::UnexpectedEof.into());
     }
     write(b"\r\n").await
 }
 
-/// Reads what has come; whether the client is still there. Room is made only once something is there. Safe to drop
-/// and call again.
-pub(super) async fn read(reading: &impl ReadHalf, buffer: &mut BytesMut) -> bool {
+/// Reads the available input and returns whether the client is still connected. The buffer grows only once
+/// there is input. Cancel-safe.
+pub(super) async fn receive(read_half: &impl ReadHalf, buffer: &mut BytesMut) -> bool {
     loop {
-        if reading.readable().await.is_err() {
+        if read_half.readable().await.is_err() {
             return false;
         }
-        buffer.reserve(READ);
-        match reading.try_read_buf(buffer) {
+        buffer.reserve(READ_SIZE);
+        match read_half.try_read_buf(buffer) {
             Ok(read) => return read > 0,
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             Err(_) => return false,
@@ -59,66 +61,75 @@
     }
 }
 
-/// What becomes of what a client sends while its commands are not taken.
-pub(super) enum Unread<'a> {
-    /// It is read ahead, within a bound, and told of.
-    Kept(&'a mut BytesMut, &'a mut dyn FnMut()),
-    /// It is read and means nothing: behind an error, or the last word.
-    Dropped,
-    /// It stays where it is, for the client to ask elsewhere.
-    Left,
+/// How to treat input that arrives while no commands are taken.
+pub(super) enum UnreadInput<'a> {
+    /// It is read ahead, up to a limit, and the callback is called.
+    Buffered(&'a mut BytesMut, &'a mut dyn FnMut()),
+    /// It is read and discarded, because it follows an error or the last command.
+    Discarded,
+    /// It is left unread: the client sends it again on another connection.
+    LeftUnread,
 }
 
-/// Ends when the client has gone away, at whatever this connection is busy with. Safe to drop and call again.
-pub(super) async fn gone(net: &impl Net, reading: &impl ReadHalf, mut unread: Unread<'_>) {
+/// Completes when the client has closed the connection, whatever the connection is waiting for. Cancel-safe.
+pub(super) async fn client_gone(
+    net: &impl Net,
+    read_half: &impl ReadHalf,
+    mut unread_input: UnreadInput<'_>,
+) {
     if mutation_active(Mutation::SentAfterLeft) {
         return std::future::pending().await;
     }
-    let mut dropped = BytesMut::new();
+    let mut discarded = BytesMut::new();
     loop {
-        let here = match &mut unread {
-            Unread::Kept(buffer, told) if buffer.len() < AHEAD => {
-                let more = read(reading, buffer).await;
-                told();
-                more
+        let still_open = match &mut unread_input {
+            UnreadInput::Buffered(buffer, on_input) if buffer.len() < MAX_READ_AHEAD => {
+                let received = receive(read_half, buffer).await;
+                on_input();
+                received
             }
-            Unread::Dropped => {
-                dropped.clear();
-                read(reading, &mut dropped).await
+            UnreadInput::Discarded => {
+                discarded.clear();
+                receive(read_half, &mut discarded).await
             }
-            // An end behind what is unread can be seen, but not waited for.
-            Unread::Kept(..) | Unread::Left => {
-                net.sleep(LOOK).await;
-                !reading.closed()
+            // A close behind unread input can be polled, but not awaited.
+            UnreadInput::Buffered(..) | UnreadInput::LeftUnread => {
+                net.sleep(CLOSE_CHECK_INTERVAL).await;
+                !read_half.closed()
             }
         };
-        if !here {
+        if !still_open {
             return;
         }
     }
 }
 
-/// Ends a connection on which something may be unread: closed at once that would be a reset, which can destroy answers
-/// that the client has not read yet. It hears the end, and has a moment to close its side.
-pub(super) async fn part(
+/// Closes a connection that may have unread input. Closing it at once would send a reset, which can destroy
+/// replies that the client has not read yet; so the write side is shut down first, and the client gets a
+/// short time to close its side.
+pub(super) async fn close_gracefully(
     net: &impl Net,
-    reading: &impl ReadHalf,
-    writing: &mut (impl AsyncWrite + Unpin),
-    unread: Unread<'_>,
+    read_half: &impl ReadHalf,
+    write_half: &mut (impl AsyncWrite + Unpin),
+    unread_input: UnreadInput<'_>,
 ) {
-    if writing.shutdown().await.is_ok() {
-        net.timeout(PARTING, gone(net, reading, unread)).await;
+    if write_half.shutdown().await.is_ok() {
+        net.timeout(CLOSE_TIMEOUT, client_gone(net, read_half, unread_input)).await;
     }
 }
 
-/// Whether nothing has come in that is not read yet: a connection is closed only then, or a request would be lost
-/// with it.
-pub(super) async fn quiet(net: &impl Net, reading: &impl ReadHalf, buffer: &mut BytesMut) -> bool {
+/// Returns whether there is no unread input. A connection is closed only then, otherwise a request could be
+/// lost.
+pub(super) async fn no_input_pending(
+    net: &impl Net,
+    read_half: &impl ReadHalf,
+    buffer: &mut BytesMut,
+) -> bool {
     if mutation_active(Mutation::CloseOverUnread) {
         return true;
     }
-    // Once round the runtime, which looks at the sockets then.
+    // Yield to the runtime once, so that it polls the sockets.
     net.yield_now().await;
-    buffer.reserve(READ);
-    !matches!(reading.try_read_buf(buffer), Ok(read) if read > 0)
+    buffer.reserve(READ_SIZE);
+    !matches!(read_half.try_read_buf(buffer), Ok(read) if read > 0)
 }
--- a/crates/mothpier/src/clock.rs
+++ b/crates/mothpier/src/clock.rs
@@ -5,7 +5,8 @@
 use brassrouter::Micros;
 use mothpier_net::Net;
 
-/// Unix time at the start and a monotonic clock since: comparable with times of the list, and never set back.
+/// Unix time at the start plus the monotonic time since. Comparable with times in server lists, and never set
+/// back.
 #[derive(Clone)]
 pub struct Clock<N> {
     net: N,
--- a/crates/mothpier/src/event_log.rs
+++ b/crates/mothpier/src/event_log.rs
@@ -1,5 +1,5 @@
-//! A line of the log for each thing that befell a request or a connection, with its id and reason: off unless the environment
-//! asks for it, and bounded, so that no flood of them fills the log.
+//! A log line for each event of a request or connection, with its id and reason. Off unless enabled by an
+//! environment variable, and limited in rate so that many events cannot flood the log.
 
 use std::cell::Cell;
 use std::str::FromStr;
@@ -9,18 +9,18 @@
 
 use crate::metrics::{CloseReason, RefusalReason};
 
-/// The variable of the environment that asks for events.
+/// The environment variable that enables the event log and selects its format.
 pub const VARIABLE: &str = "MOTHPIER_EVENTS";
-/// Lines in a span at the most; those beyond are counted, and told with the next line.
-const MOST_LINES: u32 = 200;
-const SPAN: Duration = Duration::from_secs(1);
+/// Maximum number of lines in an interval; further ones are counted and reported with the next line.
+const MAX_LINES: u32 = 200;
+const INTERVAL: Duration = Duration::from_secs(1);
 
-/// How events are written.
+/// The format of event lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
-    /// Names and values, `name=value`.
+    /// Fields as `name=value`.
     Text,
-    /// An object of JSON.
+    /// A JSON object.
     Json,
 }
 
@@ -36,71 +36,71 @@
     }
 }
 
-/// What befell a request, a connection or the node.
+/// An event of a request, a connection or the node.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event<'a> {
-    /// An attempt behind another one of its request is made; `after` tells how that one ended.
+    /// A further attempt of a request is made; `after` states how the previous one ended.
     Retried { request: &'a str, attempt: u16, after: &'static str, server: u32 },
-    /// A request was turned away; trying again is harmless.
+    /// A request was refused; retrying it is safe.
     Refused { request: &'a str, reason: RefusalReason, attempts: u16, retry_after_ms: u64 },
-    /// A request failed: it may have run.
+    /// A request failed; it may have run.
     Failed { request: &'a str, attempts: u16, last: &'static str },
-    /// The client of a request has gone.
+    /// The client of a request has closed its connection.
     ClientGone { request: &'a str, attempts: u16 },
-    /// A list of servers, or changes of it, was taken in.
+    /// A server list, or changes to it, were applied.
     ListTaken { revision: u64, complete: bool, lines: usize },
-    /// One input took the node so long that others had to wait for it.
+    /// One input occupied the node for so long that others had to wait.
     HeldUp { input: &'static str, took_ms: u64 },
     /// A client's connection was closed.
     ConnectionClosed { connection: u64, reason: CloseReason, unanswered: usize },
 }
 
-/// Writes events as lines, within a bound.
+/// Formats events as log lines, at a limited rate.
 #[derive(Default)]
 pub struct EventLog {
     form: Option<Form>,
-    span_began: Cell<Option<Instant>>,
+    interval_started: Cell<Option<Instant>>,
     lines: Cell<u32>,
-    left_out: Cell<u64>,
+    suppressed: Cell<u64>,
 }
 
 impl EventLog {
-    /// One that writes in a form, or nothing.
+    /// Creates an event log that writes in a format, or nothing.
     pub fn new(form: Option<Form>) -> Self {
         EventLog { form, ..EventLog::default() }
     }
 
-    /// The line for an event at a time; `None` where none is to be written.
+    /// Returns the line for an event, or `None` if none is to be written.
     pub fn line(&self, now: Instant, event: &Event) -> Option<String> {
         let form = self.form?;
-        if self.span_began.get().is_none_or(|began| now.saturating_duration_since(began) >= SPAN) {
-            self.span_began.set(Some(now));
+        if self.interval_started.get().is_none_or(|began| now.saturating_duration_since(began) >= INTERVAL) {
+            self.interval_started.set(Some(now));
             self.lines.set(0);
         }
-        if self.lines.get() >= MOST_LINES {
-            self.left_out.set(self.left_out.get() + 1);
+        if self.lines.get() >= MAX_LINES {
+            self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
         self.lines.set(self.lines.get() + 1);
         let mut fields = serde_json::to_value(event).ok()?;
-        let left_out = self.left_out.take();
-        if let Some(object) = fields.as_object_mut().filter(|_| left_out > 0) {
-            object.insert("left_out_before".into(), left_out.into());
+        let suppressed = self.suppressed.take();
+        if let Some(object) = fields.as_object_mut().filter(|_| suppressed > 0) {
+            object.insert("left_out_before".into(), suppressed.into());
         }
         Some(match form {
             Form::Json => fields.to_string(),
-            Form::Text => as_words(&fields),
+            Form::Text => as_text(&fields),
         })
     }
 }
 
-fn as_words(fields: &serde_json::Value) -> String {
-    let word = |(name, value): (&String, &serde_json::Value)| match value {
+fn as_text(fields: &serde_json::Value) -> String {
+    let field = |(name, value): (&String, &serde_json::Value)| match value {
         serde_json::Value::String(text) => format!("{name}={text}"),
         other => format!("{name}={other}"),
     };
-    fields.as_object().into_iter().flatten().map(word).collect::<Vec<_>>().join(" ")
+    fields.as_object().into_iter().flatten().map(field).collect::<Vec<_>>().join(" ")
 }
 
 #[cfg(test)]
--- a/crates/mothpier/src/event_log/tests.rs
+++ b/crates/mothpier/src/event_log/tests.rs
@@ -3,14 +3,14 @@
 const GONE: Event = Event::ClientGone { request: "7f3a", attempts: 2 };
 
 #[test]
-fn nothing_is_written_unless_it_is_asked_for() {
+fn nothing_is_written_unless_enabled() {
     assert_eq!(EventLog::default().line(Instant::now(), &GONE), None);
     assert_eq!("json".parse(), Ok(Form::Json));
     assert!("yes".parse::<Form>().unwrap_err().contains("neither"));
 }
 
 #[test]
-fn both_forms_tell_the_request_and_the_reason() {
+fn both_formats_contain_the_request_and_the_reason() {
     let now = Instant::now();
     let refused =
         Event::Refused { request: "7f3a", reason: RefusalReason::Memory, attempts: 0, retry_after_ms: 100 };
@@ -24,11 +24,11 @@
 }
 
 #[test]
-fn a_flood_is_cut_off_and_counted() {
+fn lines_beyond_the_limit_are_suppressed_and_counted() {
     let (log, now) = (EventLog::new(Some(Form::Json)), Instant::now());
-    let written = (0..MOST_LINES + 50).filter_map(|_| log.line(now, &GONE)).count();
-    assert_eq!(written, MOST_LINES as usize);
-    let next = log.line(now + SPAN, &GONE).unwrap();
+    let written = (0..MAX_LINES + 50).filter_map(|_| log.line(now, &GONE)).count();
+    assert_eq!(written, MAX_LINES as usize);
+    let next = log.line(now + INTERVAL, &GONE).unwrap();
     assert!(next.contains("\"left_out_before\":50"), "{next}");
-    assert!(!log.line(now + SPAN, &GONE).unwrap().contains("left_out_before"));
+    assert!(!log.line(now + INTERVAL, &GONE).unwrap().contains("left_out_before"));
 }
--- a/crates/mothpier/src/http.rs
+++ b/crates/mothpier/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection, for the origin and for discovery. Nothing here sends a request a second time.
+//! HTTP/1.1 client connections, for the origin and for discovery. Requests are never sent a second time here.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 
 use crate::write_gate::{GatedStream, WriteGate};
 
-/// Read ahead of one connection; a head without end goes no further.
+/// Maximum read buffer of a connection, in bytes; it bounds the head of a response.
 const MAX_HEAD: usize = 64 * 1024;
 
-/// An open connection; dropping it closes the socket, also under a request that is out.
+/// An open connection. Dropping it closes the socket, even during a request.
 pub struct Connection<N: Net> {
     pub sender: SendRequest<Full<Bytes>>,
-    /// Asked before the first byte of a request is written.
+    /// Checked before the first byte of a request is written.
     pub gate: WriteGate,
     driver: N::Task,
 }
@@ -30,33 +30,33 @@
     }
 }
 
-/// Opens a connection within a time.
+/// Opens a connection within a time limit.
 pub async fn connect<N: Net>(
     net: &N,
     address: SocketAddr,
-    within: Duration,
+    time_limit: Duration,
 ) -> std::io::Result<Connection<N>> {
-    let stream = net.timeout(within, net.connect(address)).await.ok_or(ErrorKind::TimedOut)??;
+    let stream = net.timeout(time_limit, net.connect(address)).await.ok_or(ErrorKind::TimedOut)??;
     stream.set_nodelay();
     let gate = WriteGate::default();
     let stream = TokioIo::new(GatedStream { stream, gate: gate.clone() });
     let handshake = http1::Builder::new().max_buf_size(MAX_HEAD).handshake(stream).await;
     let (sender, connection) = handshake.map_err(std::io::Error::other)?;
-    // Driving the connection also while it is idle is what notices that the peer has closed it.
+    // The connection is driven while it is idle as well, which detects that the peer has closed it.
     let driver = net.spawn(async move { drop(connection.await) });
     Ok(Connection { sender, gate, driver })
 }
 
-/// Reads a body of at most `most` bytes.
-pub async fn body(mut body: Incoming, most: usize) -> Result<Bytes, String> {
-    let mut whole = BytesMut::new();
+/// Reads a body of at most `max_bytes` bytes.
+pub async fn body(mut body: Incoming, max_bytes: usize) -> Result<Bytes, String> {
+    let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|e| e.to_string())?;
         let Some(data) = frame.data_ref() else { continue };
-        if whole.len() + data.len() > most {
-            return Err(format!("a body of over {most} bytes"));
+        if bytes.len() + data.len() > max_bytes {
+            return Err(format!("body exceeds {max_bytes} bytes"));
         }
-        whole.extend_from_slice(data);
+        bytes.extend_from_slice(data);
     }
-    Ok(whole.freeze())
+    Ok(bytes.freeze())
 }
--- a/crates/mothpier/src/origin.rs
+++ b/crates/mothpier/src/origin.rs
@@ -1,4 +1,4 @@
-//! Calls to the origin over HTTP/1.1, one at a time on a connection.
+//! Calls to the origin over HTTP/1.1, one at a time on each connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,24 +20,25 @@
 use crate::http::{self, Connection};
 use crate::messages::{AttemptId, NodeInput, OriginEnded as Ended, StreamedValue};
 use crate::metrics::Metrics;
-use crate::resp::{MAX_PASSED, MAX_VALUE};
+use crate::resp::{MAX_STREAMED_VALUE, MAX_VALUE};
 use crate::time_budget::{DeadlinePassed, TimeBudget};
 use crate::{Mutation, mutation_active};
 
-/// A connection idle for this part of the time after which it is closed is not used again.
-const FRESH: f64 = 0.7;
-/// After its head an answer's body comes within this time.
-const BEGUN: Duration = Duration::from_millis(250);
-/// A body that is passed on has stopped when nothing more has come for so long while its client would take more.
-const STALLED: Duration = Duration::from_secs(2);
-/// The most of it that is put in at once.
-const PART: usize = 16 * 1024;
-/// A call that has not ended by then is written: it goes to a socket of this machine.
-const WRITTEN: Duration = Duration::from_millis(20);
-/// The header that carries a command's names and values.
-const EXTRAS: HeaderName = HeaderName::from_static("x-extras");
-/// What of a key stands in a path as something else: all that a path segment can't hold as it is.
-const ENCODED: &AsciiSet = &NON_ALPHANUMERIC
+/// A connection that has been idle for this fraction of the idle timeout is not used again.
+const REUSABLE_IDLE_FRACTION: f64 = 0.7;
+/// Time limit for the body of a response after its head.
+const BODY_TIMEOUT: Duration = Duration::from_millis(250);
+/// A streamed body is aborted if nothing more of it arrives for this long while its client would accept more.
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum size of the chunks of a streamed body, in bytes.
+const MAX_CHUNK: usize = 16 * 1024;
+/// A call that has not ended after this time counts as written, since writing goes only to a local socket
+/// buffer.
+const ASSUMED_WRITTEN_AFTER: Duration = Duration::from_millis(20);
+/// The header that carries a command's extras.
+const EXTRAS_HEADER: HeaderName = HeaderName::from_static("x-extras");
+/// The characters of a key that are percent-encoded: all that are not allowed in a path segment.
+const PERCENT_ENCODED: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'.')
     .remove(b'_')
@@ -57,34 +58,34 @@
     .remove(b'=');
 
 impl Ended {
-    fn with(status: Status) -> Self {
+    fn with_status(status: Status) -> Self {
         Ended { status, value: Bytes::new(), load: String::new() }
     }
 }
 
-/// How far a call has come.
+/// The progress of a call.
 struct Progress {
-    /// It has begun to be written.
+    /// The request is being written, or has been.
     begun: Cell<bool>,
-    /// Where it counts once it is written; a probe counts nowhere.
-    counts: Option<Rc<Metrics>>,
+    /// Counts the call as an attempt once it is written; `None` for a probe, which is not counted.
+    attempt_metrics: Option<Rc<Metrics>>,
     attempt: AttemptId,
     events: mpsc::Sender<NodeInput>,
 }
 
-/// A call that is out.
+/// A call in progress.
 pub struct Call<N: Net> {
     progress: Rc<Progress>,
     task: N::Task,
 }
 
 impl<N: Net> Call<N> {
-    /// Whether it has begun to be written.
+    /// Returns whether the request is being written, or has been.
     pub fn begun(&self) -> bool {
         self.progress.begun.get()
     }
 
-    /// Stops waiting, which closes its connection; whether it may have run.
+    /// Stops waiting, which closes the connection. Returns whether the call may have run.
     pub fn give_up(self) -> bool {
         self.task.abort();
         self.progress.begun.get()
@@ -94,24 +95,25 @@
 /// A call that has not been written.
 struct Outgoing {
     request: Request<Full<Bytes>>,
-    /// How long it is waited for; a probe of the load has none.
+    /// The time left for the call; a load probe has none.
     budget: Option<TimeBudget>,
 }
 
 impl Outgoing {
-    /// Whether its client no longer waits.
+    /// Returns whether its client no longer waits.
     fn is_cancelled(&self, now: Instant) -> bool {
         self.budget.as_ref().is_some_and(|budget| budget.command.cancel.is_cancelled(now))
     }
 
-    /// Tells the origin how much time is left as of now. Done right before the first byte is written: a call may have been
-    /// postponed, or may have waited for its connection.
-    fn stamp(&mut self, now: Instant) -> Result<(), DeadlinePassed> {
+    /// Sets the header that tells the origin how much time is left. This is done right before the first byte
+    /// is written, because the call may have been postponed or may have waited for its connection.
+    fn set_time_left(&mut self, now: Instant) -> Result<(), DeadlinePassed> {
         let Some(budget) = &self.budget else { return Ok(()) };
         let extras = budget.extras(now)?;
-        // Clients' lists are printable: what is no header value was refused as it was read.
+        // Extras are printable, so they are valid header values: others were refused when the command was
+        // parsed.
         if let Ok(extras) = HeaderValue::from_str(&extras) {
-            self.request.headers_mut().insert(EXTRAS, extras);
+            self.request.headers_mut().insert(EXTRAS_HEADER, extras);
         }
         Ok(())
     }
@@ -123,16 +125,16 @@
     idle: RefCell<Vec<Idle<N>>>,
 }
 
-/// A connection with its part of the descriptors, and since when it has been idle.
+/// An idle connection with its permit, and the time since when it has been idle.
 struct Idle<N: Net>(Connection<N>, OwnedSemaphorePermit, Instant);
 
-/// The origins of the list.
+/// The origins of the server list.
 pub struct Origins<N: Net> {
     net: N,
     pools: HashMap<ServerId, Rc<Pool<N>>>,
     idle_close: Duration,
     connect_timeout: Duration,
-    /// Connections that may be open to all together.
+    /// Permits for connections to all origins together.
     descriptors: Arc<Semaphore>,
     figures: Rc<Metrics>,
     events: mpsc::Sender<NodeInput>,
@@ -148,11 +150,11 @@
         events: mpsc::Sender<NodeInput>,
     ) -> Self {
         let descriptors = Arc::new(Semaphore::new(descriptors.max(1)));
-        let idle_close = idle_close.mul_f64(FRESH);
+        let idle_close = idle_close.mul_f64(REUSABLE_IDLE_FRACTION);
         Origins { net, pools: HashMap::new(), idle_close, connect_timeout, descriptors, figures, events }
     }
 
-    /// Takes a line of the list of one that is not gone.
+    /// Applies an entry of the server list, of an origin that is not gone.
     pub fn listed(&mut self, server: ServerId, address: Option<SocketAddr>, ready: bool) {
         let known = self.pools.get(&server).filter(|p| address.is_none() || p.address == address);
         if let Some(pool) = known {
@@ -168,20 +170,20 @@
         }
     }
 
-    /// How many are kept.
+    /// Returns the number of origins.
     pub fn len(&self) -> usize {
         self.pools.len()
     }
 
-    /// Forgets an origin that the list names no longer.
+    /// Removes an origin that the server list no longer contains.
     pub fn gone(&mut self, server: ServerId) {
         if let Some(pool) = self.pools.remove(&server) {
-            // A call that is under way holds its pool: it must find that nothing new is wanted.
+            // A call in progress still holds the pool and must see that nothing new may be sent.
             pool.ready.set(false);
         }
     }
 
-    /// Calls the origin for a command; its end comes as an event.
+    /// Calls the origin for a command; the result is sent to the node as an event.
     pub fn call(&self, server: ServerId, attempt: AttemptId, budget: TimeBudget) -> Option<Call<N>> {
         let pool = self.pools.get(&server).filter(|p| p.ready.get())?.clone();
         let address = pool.address?;
@@ -189,7 +191,7 @@
         let method = if command.write { Method::PUT } else { Method::GET };
         let request = Request::builder()
             .method(method)
-            .uri(format!("/{}", percent_encode(&command.key, ENCODED)))
+            .uri(format!("/{}", percent_encode(&command.key, PERCENT_ENCODED)))
             .header("Host", address.to_string())
             .header("X-Request-Id", command.id.as_ref())
             .body(Full::new(command.value.clone().unwrap_or_default()))
@@ -197,7 +199,7 @@
         Some(self.spawn(pool, address, attempt, Outgoing { request, budget: Some(budget) }))
     }
 
-    /// Asks an origin for its load.
+    /// Requests the load of an origin.
     pub fn probe(&self, server: ServerId, attempt: AttemptId) -> Option<Call<N>> {
         let pool = self.pools.get(&server).filter(|p| p.ready.get())?.clone();
         let address = pool.address?;
@@ -215,22 +217,31 @@
     ) -> Call<N> {
         let progress = Rc::new(Progress {
             begun: Cell::new(false),
-            counts: outgoing.budget.is_some().then(|| self.figures.clone()),
+            attempt_metrics: outgoing.budget.is_some().then(|| self.figures.clone()),
             attempt,
             events: self.events.clone(),
         });
-        let (written, events) = (progress.clone(), self.events.clone());
-        let (fresh, within, descriptors) = (self.idle_close, self.connect_timeout, self.descriptors.clone());
+        let (task_progress, events) = (progress.clone(), self.events.clone());
+        let (max_idle, connect_limit, descriptors) =
+            (self.idle_close, self.connect_timeout, self.descriptors.clone());
         let net = self.net.clone();
         let task = self.net.spawn(async move {
-            let ended =
-                exchange(&net, &pool, address, outgoing, (fresh, within), descriptors, &written).await;
+            let ended = exchange(
+                &net,
+                &pool,
+                address,
+                outgoing,
+                (max_idle, connect_limit),
+                descriptors,
+                &task_progress,
+            )
+            .await;
             let _ = events.send(NodeInput::Origin { attempt, ended }).await;
         });
         Call { progress, task }
     }
 
-    /// Closes the connections to an origin that carry nothing.
+    /// Closes the idle connections to an origin.
     pub fn close_idle(&self, server: ServerId) {
         if let Some(pool) = self.pools.get(&server) {
             pool.idle.borrow_mut().clear();
@@ -238,26 +249,26 @@
     }
 }
 
-/// Passes a body on as it comes; whether it came whole and was taken.
-async fn pass_on(net: &impl Net, mut body: Incoming, length: usize, progress: &Progress) -> bool {
-    let (put, value) = StreamedValue::of(length);
+/// Streams a body to its client. Returns whether the body was received and accepted completely.
+async fn stream_body(net: &impl Net, mut body: Incoming, length: usize, progress: &Progress) -> bool {
+    let (chunks, value) = StreamedValue::of(length);
     if progress.events.send(NodeInput::OriginBegan { attempt: progress.attempt, value }).await.is_err() {
         return false;
     }
-    let mut left = length;
-    while left > 0 {
-        let Some(Some(Ok(frame))) = net.timeout(STALLED, body.frame()).await else { return false };
+    let mut remaining = length;
+    while remaining > 0 {
+        let Some(Some(Ok(frame))) = net.timeout(STALL_TIMEOUT, body.frame()).await else { return false };
         let Ok(mut data) = frame.into_data() else { continue };
-        left = left.saturating_sub(data.len());
-        // In parts of a size, or a few of them would hold more than their place.
+        remaining = remaining.saturating_sub(data.len());
+        // Sent in chunks of limited size, because the channel bounds their number and not their size.
         while !data.is_empty() {
-            if put.send(data.split_to(data.len().min(PART))).await.is_err() {
+            if chunks.send(data.split_to(data.len().min(MAX_CHUNK))).await.is_err() {
                 return false;
             }
         }
     }
-    // The end is looked for, so that the connection can carry another call.
-    matches!(net.timeout(STALLED, body.frame()).await, Some(None))
+    // The end of the body must be read before the connection can be reused.
+    matches!(net.timeout(STALL_TIMEOUT, body.frame()).await, Some(None))
 }
 
 async fn exchange<N: Net>(
@@ -265,56 +276,60 @@
     pool: &Pool<N>,
     address: SocketAddr,
     mut outgoing: Outgoing,
-    (fresh, within): (Duration, Duration),
+    (max_idle, connect_limit): (Duration, Duration),
     descriptors: Arc<Semaphore>,
     progress: &Progress,
 ) -> Ended {
-    // Once round the runtime: a close that has come in is noticed before a connection is chosen, or a write that
-    // must not run twice would be lost on it.
+    // Yield to the runtime once, so that a close by the origin is noticed before a connection is chosen.
+    // Otherwise a write that must not be repeated could be lost on a closed connection.
     net.yield_now().await;
     let idle = {
         let mut idle = pool.idle.borrow_mut();
-        idle.retain(|Idle(c, _, since)| c.sender.is_ready() && net.since(*since) < fresh);
+        idle.retain(|Idle(c, _, since)| c.sender.is_ready() && net.since(*since) < max_idle);
         idle.pop()
     };
     let (mut connection, permit) = match (idle, descriptors.try_acquire_owned()) {
         (Some(Idle(connection, permit, _)), _) => (connection, permit),
-        (None, Ok(permit)) => match http::connect(net, address, within).await {
+        (None, Ok(permit)) => match http::connect(net, address, connect_limit).await {
             Ok(connection) => (connection, permit),
-            Err(_) => return Ended::with(Status::ConnectFailed),
+            Err(_) => return Ended::with_status(Status::ConnectFailed),
         },
-        (None, Err(_)) => return Ended::with(Status::ConnectFailed),
+        (None, Err(_)) => return Ended::with_status(Status::ConnectFailed),
     };
-    // While the connection was made it may have begun to drain, or the client may have left: nothing new goes there then.
+    // While the connection was established, the origin may have started to drain, or the client may have
+    // left: nothing new is sent then.
     if !pool.ready.get() || outgoing.is_cancelled(net.now()) {
-        return Ended::with(Status::NotSent);
+        return Ended::with_status(Status::NotSent);
     }
-    if outgoing.stamp(net.now()).is_err() {
-        return Ended::with(Status::NotSent);
+    if outgoing.set_time_left(net.now()).is_err() {
+        return Ended::with_status(Status::NotSent);
     }
     if let Some(budget) = &outgoing.budget {
         let (cancel, net) = (budget.command.cancel.clone(), net.clone());
-        connection.gate.ask(move || !cancel.is_cancelled(net.now()));
+        connection.gate.check_before_write(move || !cancel.is_cancelled(net.now()));
     }
     progress.begun.set(true);
     let mut sending = std::pin::pin!(connection.sender.try_send_request(outgoing.request));
-    // It is written whole by then, or its connection has ended.
-    let early = net.timeout(WRITTEN, sending.as_mut()).await;
-    let unsent = connection.gate.has_refused() || matches!(&early, Some(Err(e)) if e.message().is_some());
-    if !unsent {
-        progress.counts.iter().for_each(|figures| figures.attempt());
+    // By then the request has been written completely, or the connection has ended.
+    let early_result = net.timeout(ASSUMED_WRITTEN_AFTER, sending.as_mut()).await;
+    let not_written =
+        connection.gate.has_refused() || matches!(&early_result, Some(Err(e)) if e.message().is_some());
+    if !not_written {
+        progress.attempt_metrics.iter().for_each(|figures| figures.attempt());
     }
-    let sent = match early {
+    let sent = match early_result {
         Some(sent) => sent,
         None => sending.await,
     };
     let response = match sent {
         Ok(response) => response,
-        // Given back: the connection had ended before any of it was written.
-        Err(e) if e.message().is_some() => return Ended::with(Status::ConnectFailed),
-        Err(_) if connection.gate.has_refused() => return Ended::with(Status::NotSent),
-        Err(_) if mutation_active(Mutation::ResetNeverRan) => return Ended::with(Status::ConnectFailed),
-        Err(_) => return Ended::with(Status::Reset),
+        // The request is returned unsent: the connection had ended before any of it was written.
+        Err(e) if e.message().is_some() => return Ended::with_status(Status::ConnectFailed),
+        Err(_) if connection.gate.has_refused() => return Ended::with_status(Status::NotSent),
+        Err(_) if mutation_active(Mutation::ResetNeverRan) => {
+            return Ended::with_status(Status::ConnectFailed);
+        }
+        Err(_) => return Ended::with_status(Status::Reset),
     };
     let header = |name: &str| {
         response.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned()
@@ -328,15 +343,15 @@
     };
     let body = response.into_body();
     let length = body.size_hint().exact().unwrap_or_default() as usize;
-    let value = if status == Status::Served && length > MAX_VALUE && length <= MAX_PASSED {
-        if !pass_on(net, body, length, progress).await {
-            return Ended::with(Status::Reset);
+    let value = if status == Status::Served && length > MAX_VALUE && length <= MAX_STREAMED_VALUE {
+        if !stream_body(net, body, length, progress).await {
+            return Ended::with_status(Status::Reset);
         }
         Bytes::new()
     } else {
-        // A body that doesn't end, or is too long, is no answer; its connection goes with it.
-        let Some(Ok(value)) = net.timeout(BEGUN, http::body(body, MAX_VALUE)).await else {
-            return Ended::with(Status::Reset);
+        // A body that is too long, or not complete in time, is an error; the connection is closed.
+        let Some(Ok(value)) = net.timeout(BODY_TIMEOUT, http::body(body, MAX_VALUE)).await else {
+            return Ended::with_status(Status::Reset);
         };
         value
     };
--- a/crates/mothpier/src/resp.rs
+++ b/crates/mothpier/src/resp.rs
@@ -1,4 +1,4 @@
-//! RESP2 frames off a buffer and onto one. The crate decodes; the scan before it bounds what it is given.
+//! Encodes and decodes RESP2 frames. A scan ahead of the decoder bounds the size of what it is given.
 
 use std::fmt;
 
@@ -6,34 +6,34 @@
 use redis_protocol::resp2::types::BytesFrame;
 use redis_protocol::resp2::{decode, encode};
 
-/// The largest value that is held whole; a larger one is passed on as it comes.
+/// Largest value that is buffered whole, in bytes; larger ones are streamed.
 pub const MAX_VALUE: usize = 64 * 1024;
-/// The largest value of a key.
-pub const MAX_PASSED: usize = 4 << 20;
-/// The longest simple string or error line.
-const MAX_LINE: usize = 1024;
-/// The longest number of a header, with its end of line.
-const MAX_NUMBER: usize = 12;
-/// Elements of one frame, nested ones too.
+/// Largest value of a key, in bytes.
+pub const MAX_STREAMED_VALUE: usize = 4 << 20;
+/// Longest simple string or error line, in bytes.
+const MAX_LINE_LENGTH: usize = 1024;
+/// Longest number in a header, in bytes, including the line end.
+const MAX_NUMBER_LENGTH: usize = 12;
+/// Maximum number of elements of a frame, including nested ones.
 const MAX_ELEMENTS: usize = 32;
 
-/// The one command that may come as a line.
+/// The only command that is accepted as an inline command.
 const HELLO: &[u8] = b"HELLO";
-/// Arrays within arrays: the decoder recurses so deep.
+/// Maximum nesting depth of arrays; the decoder recurses once per level.
 const MAX_DEPTH: usize = 8;
 
-/// How large one frame may be.
+/// Limits on the size of a frame.
 pub struct Bounds {
-    /// Bytes of a value.
+    /// Maximum length of a value, in bytes.
     pub value: usize,
-    /// Elements, nested ones too.
+    /// Maximum number of elements, including nested ones.
     pub elements: usize,
 }
 
-/// Of commands and of answers to them.
-const FRAME: Bounds = Bounds { value: MAX_VALUE, elements: MAX_ELEMENTS };
+/// The limits for commands and the answers to them.
+const FRAME_BOUNDS: Bounds = Bounds { value: MAX_VALUE, elements: MAX_ELEMENTS };
 
-/// What can't be the beginning of a frame, in words.
+/// Bytes that cannot be the beginning of a frame, with a description of the fault.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
@@ -43,12 +43,12 @@
     }
 }
 
-/// Takes the first whole frame off a buffer; `None` while it has not all come.
+/// Takes the first complete frame off a buffer; returns `None` if it is incomplete so far.
 pub fn take_frame(buffer: &mut BytesMut) -> Result<Option<BytesFrame>, Malformed> {
-    take_within(buffer, &FRAME)
+    take_within(buffer, &FRAME_BOUNDS)
 }
 
-/// Takes the first whole frame off a buffer, as [`take_frame`] does, with other bounds.
+/// Takes the first complete frame off a buffer like [`take_frame`], with other limits.
 pub fn take_within(buffer: &mut BytesMut, bounds: &Bounds) -> Result<Option<BytesFrame>, Malformed> {
     let Some(end) = frame_end(buffer, bounds)? else { return Ok(None) };
     let bytes = buffer.split_to(end).freeze();
@@ -58,115 +58,117 @@
     }
 }
 
-/// The words of a client's command whose last one is too large to be taken like others, and how long that one is.
+/// The beginning of a client's command whose last argument is a large value.
 #[derive(Debug, PartialEq, Eq)]
 pub struct LargeCommand {
-    /// Those before it.
-    pub words: Vec<Bytes>,
-    /// Bytes of the command up to the value.
+    /// The arguments before the value.
+    pub arguments: Vec<Bytes>,
+    /// Number of bytes before the value.
     pub head: usize,
-    /// Bytes of the value.
+    /// Length of the value, in bytes.
     pub length: usize,
 }
 
-/// Reads the head of a command whose last word is a large value; `None` for any other command, and while it can't be told
-/// yet.
-pub fn large_command(buffer: &[u8]) -> Option<LargeCommand> {
+/// Parses the beginning of a command whose last argument is a large value. Returns `None` for any other
+/// command, and while the buffer is too short to tell.
+pub fn parse_large_command(buffer: &[u8]) -> Option<LargeCommand> {
     let number = |at: usize, kind: u8| -> Option<(usize, usize)> {
         let digits = buffer.get(at..)?.strip_prefix(&[kind])?;
-        let end = digits.iter().take(MAX_NUMBER).position(|b| *b == b'\r')?;
+        let end = digits.iter().take(MAX_NUMBER_LENGTH).position(|b| *b == b'\r')?;
         let text = digits.get(..end).filter(|d| d.iter().all(u8::is_ascii_digit))?;
-        let whole = digits.get(end..end + 2)? == b"\r\n";
+        let is_terminated = digits.get(end..end + 2)? == b"\r\n";
         let number = std::str::from_utf8(text).ok()?.parse().ok()?;
-        whole.then_some((number, at + 1 + end + 2))
+        is_terminated.then_some((number, at + 1 + end + 2))
     };
     let (count, mut at) = number(0, b'*')?;
     if count > MAX_ELEMENTS {
         return None;
     }
-    let mut words = Vec::new();
+    let mut arguments = Vec::new();
     for last in (1..=count).map(|n| n == count) {
         let (length, from) = number(at, b'$')?;
-        if last && length > MAX_VALUE && length <= MAX_PASSED {
-            return Some(LargeCommand { words, head: from, length });
+        if last && length > MAX_VALUE && length <= MAX_STREAMED_VALUE {
+            return Some(LargeCommand { arguments, head: from, length });
         }
-        words.push(Bytes::copy_from_slice(buffer.get(from..from.checked_add(length)?)?));
+        arguments.push(Bytes::copy_from_slice(buffer.get(from..from.checked_add(length)?)?));
         at = from + length + 2;
     }
     None
 }
 
-/// The beginning of a server's answer whose value is too large to be held.
+/// The beginning of a server's answer with a large value.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Begun {
-    /// Bytes before the value.
+pub struct LargeValueHeader {
+    /// Number of bytes before the value.
     pub head: usize,
-    /// Bytes of the value.
+    /// Length of the value, in bytes.
     pub length: usize,
-    /// Frames behind it.
-    pub behind: usize,
+    /// Number of frames after the value.
+    pub trailing_frames: usize,
 }
 
-/// Whether a buffer begins with an answer whose value is too large to be held: a value alone, or one that leads an array
-/// of three. `None` also while it can't be told yet.
-pub fn begins_large(buffer: &[u8]) -> Option<Begun> {
+/// Parses the beginning of an answer with a large value, which is either the value alone or the first element
+/// of an array of three. Returns `None` for any other answer, and while the buffer is too short to tell.
+pub fn parse_large_value_header(buffer: &[u8]) -> Option<LargeValueHeader> {
     let (array, rest) = match buffer.strip_prefix(b"*3\r\n") {
         Some(rest) => (true, rest),
         None => (false, buffer),
     };
     let digits = rest.strip_prefix(b"$")?;
-    let end = digits.iter().take(MAX_NUMBER).position(|b| *b == b'\r')?;
+    let end = digits.iter().take(MAX_NUMBER_LENGTH).position(|b| *b == b'\r')?;
     let text = digits.get(..end).filter(|d| d.iter().all(u8::is_ascii_digit))?;
     let length: usize = std::str::from_utf8(text).ok()?.parse().ok()?;
-    let whole = digits.get(end..end + 2)? == b"\r\n";
+    let is_terminated = digits.get(end..end + 2)? == b"\r\n";
     let head = buffer.len() - digits.len() + end + 2;
-    let large = whole && length > MAX_VALUE && length <= MAX_PASSED;
-    large.then_some(Begun { head, length, behind: if array { 2 } else { 0 } })
+    let is_large = is_terminated && length > MAX_VALUE && length <= MAX_STREAMED_VALUE;
+    is_large.then_some(LargeValueHeader { head, length, trailing_frames: if array { 2 } else { 0 } })
 }
 
-/// Takes a client's first whole command off a buffer: a frame with values up to a size, or `HELLO` as a line of words, the form in which the
-/// RESP3 specification writes it and some libraries send it. No other command may come as a line.
-pub fn take_command(buffer: &mut BytesMut, most: usize) -> Result<Option<BytesFrame>, Malformed> {
+/// Takes the first complete command of a client off a buffer. A command is a frame with values of up to
+/// `max_value` bytes, or `HELLO` as an inline command: the RESP3 specification writes it in that form, and
+/// some libraries send it so. No other inline command is accepted.
+pub fn take_command(buffer: &mut BytesMut, max_value: usize) -> Result<Option<BytesFrame>, Malformed> {
     if !matches!(buffer.first(), Some(b'H' | b'h')) {
-        return take_within(buffer, &Bounds { value: most, ..FRAME });
+        return take_within(buffer, &Bounds { value: max_value, ..FRAME_BOUNDS });
     }
     let name = &buffer[..buffer.len().min(HELLO.len())];
     if !name.eq_ignore_ascii_case(&HELLO[..name.len()]) {
         return Err(Malformed("unknown frame type"));
     }
-    let Some(end) = buffer.iter().take(MAX_LINE).position(|b| *b == b'\n') else {
-        return if buffer.len() >= MAX_LINE { Err(Malformed("line too long")) } else { Ok(None) };
+    let Some(end) = buffer.iter().take(MAX_LINE_LENGTH).position(|b| *b == b'\n') else {
+        return if buffer.len() >= MAX_LINE_LENGTH { Err(Malformed("line too long")) } else { Ok(None) };
     };
     let line = buffer.split_to(end + 1).freeze();
-    let words: Vec<_> = line
+    let arguments: Vec<_> = line
         .split(|b| b.is_ascii_whitespace())
-        .filter(|word| !word.is_empty())
-        .map(|word| BytesFrame::BulkString(line.slice_ref(word)))
+        .filter(|argument| !argument.is_empty())
+        .map(|argument| BytesFrame::BulkString(line.slice_ref(argument)))
         .collect();
-    let known = matches!(words.first(), Some(BytesFrame::BulkString(w)) if w.len() == HELLO.len());
-    if known { Ok(Some(BytesFrame::Array(words))) } else { Err(Malformed("unknown frame type")) }
+    let is_hello = matches!(arguments.first(), Some(BytesFrame::BulkString(w)) if w.len() == HELLO.len());
+    if is_hello { Ok(Some(BytesFrame::Array(arguments))) } else { Err(Malformed("unknown frame type")) }
 }
 
-/// Where the first frame ends. Walks headers only, so that a value that comes in many parts is not decoded
-/// anew with each, and refuses what is too large or too deep before anything is kept for it.
+/// Returns where the first frame ends, if it is complete. Only headers are scanned, so that a value that
+/// arrives in many parts is not decoded again with each of them, and frames that are too large or too deep
+/// are rejected before anything is allocated for them.
 fn frame_end(bytes: &[u8], bounds: &Bounds) -> Result<Option<usize>, Malformed> {
-    let (mut at, mut left, mut seen) = (0, 1usize, 0usize);
-    // For each array that is open how many of its elements are still to come.
-    let (mut open, mut depth) = ([0; MAX_DEPTH], 0);
-    while left > 0 {
-        left -= 1;
-        seen += 1;
-        while depth > 0 && open[depth - 1] == 0 {
+    let (mut at, mut remaining, mut element_count) = (0, 1usize, 0usize);
+    // The number of elements still to come of each open array.
+    let (mut open_arrays, mut depth) = ([0; MAX_DEPTH], 0);
+    while remaining > 0 {
+        remaining -= 1;
+        element_count += 1;
+        while depth > 0 && open_arrays[depth - 1] == 0 {
             depth -= 1;
         }
         if depth > 0 {
-            open[depth - 1] -= 1;
+            open_arrays[depth - 1] -= 1;
         }
         let Some(kind) = bytes.get(at) else { return Ok(None) };
         let limit = match kind {
-            b'$' | b'*' => MAX_NUMBER,
-            b':' => MAX_NUMBER * 2,
-            b'+' | b'-' => MAX_LINE,
+            b'$' | b'*' => MAX_NUMBER_LENGTH,
+            b':' => MAX_NUMBER_LENGTH * 2,
+            b'+' | b'-' => MAX_LINE_LENGTH,
             _ => return Err(Malformed("unknown frame type")),
         };
         let line = &bytes[at + 1..bytes.len().min(at + 1 + limit)];
@@ -181,12 +183,12 @@
         let number = std::str::from_utf8(text).ok().filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
         let number: usize = number.and_then(|t| t.parse().ok()).ok_or(Malformed("bad length"))?;
         if *kind == b'*' {
-            if number > bounds.elements || seen + left + number > bounds.elements {
+            if number > bounds.elements || element_count + remaining + number > bounds.elements {
                 return Err(Malformed("too many elements"));
             }
-            left += number;
+            remaining += number;
             if number > 0 {
-                *open.get_mut(depth).ok_or(Malformed("arrays too deep"))? = number;
+                *open_arrays.get_mut(depth).ok_or(Malformed("arrays too deep"))? = number;
                 depth += 1;
             }
             continue;
@@ -204,20 +206,20 @@
     Ok(Some(at))
 }
 
-/// A frame's bytes.
+/// Encodes a frame.
 pub fn encode(frame: &BytesFrame) -> Bytes {
     let mut out = BytesMut::new();
-    // Fails only where the buffer is too small, which the call grows first.
+    // Fails only if the buffer is too small, and the call grows it first.
     let _ = encode::extend_encode(&mut out, frame, false);
     out.freeze()
 }
 
-/// A command's bytes: an array of bulk strings.
-pub fn command(words: impl IntoIterator<Item = Bytes>) -> Bytes {
-    encode(&BytesFrame::Array(words.into_iter().map(BytesFrame::BulkString).collect()))
+/// Encodes a command as an array of bulk strings.
+pub fn command(arguments: impl IntoIterator<Item = Bytes>) -> Bytes {
+    encode(&BytesFrame::Array(arguments.into_iter().map(BytesFrame::BulkString).collect()))
 }
 
-/// An error line's bytes; the text must hold no line end.
+/// Encodes an error line; the text must not contain a line end.
 pub fn error(text: &str) -> Bytes {
     encode(&BytesFrame::Error(text.into()))
 }
--- a/crates/mothpier/src/resp/tests.rs
+++ b/crates/mothpier/src/resp/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// What a client sends means the same however it is cut into reads, up to the error that ends it; and nothing that it
-/// sends is a panic.
+/// However a client's input is split into reads, it must give the same commands, up to the error that ends
+/// it. No input may cause a panic.
 #[test]
 fn any_split_into_reads_gives_the_same_commands() {
-    let dice = mothpier_world::Dice::new(9);
-    let parts: [&[u8]; 12] = [
+    let random = mothpier_world::Dice::new(9);
+    let fragments: [&[u8]; 12] = [
         b"*1\r\n$4\r\nPING\r\n",
         b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$9\r\nc=a,d=900\r\n",
         b"HELLO 3\r\n",
@@ -19,7 +19,7 @@
         b"\r\n",
         b"$3\r\n\xff\x00\r\r\n",
     ];
-    let all = |reads: &[&[u8]]| {
+    let read_all = |reads: &[&[u8]]| {
         let (mut buffer, mut commands) = (BytesMut::new(), Vec::new());
         for read in reads {
             buffer.extend_from_slice(read);
@@ -35,57 +35,61 @@
     };
     let mut failed = 0;
     for _ in 0..20_000 {
-        let count = dice.within(1, 6);
-        let mut bytes: Vec<u8> =
-            (0..count).flat_map(|_| parts[dice.within(0, parts.len() as u64) as usize].to_vec()).collect();
-        for _ in 0..dice.within(0, 3) {
-            let at = dice.within(0, bytes.len() as u64) as usize;
-            bytes[at] = b"*$:+-%HhELO 0193\r\n\xff"[dice.within(0, 19) as usize];
+        let count = random.within(1, 6);
+        let mut bytes: Vec<u8> = (0..count)
+            .flat_map(|_| fragments[random.within(0, fragments.len() as u64) as usize].to_vec())
+            .collect();
+        for _ in 0..random.within(0, 3) {
+            let at = random.within(0, bytes.len() as u64) as usize;
+            bytes[at] = b"*$:+-%HhELO 0193\r\n\xff"[random.within(0, 19) as usize];
         }
-        let whole = all(&[&bytes]);
+        let unsplit = read_all(&[&bytes]);
         let (mut cuts, mut rest) = (Vec::new(), &bytes[..]);
         while !rest.is_empty() {
-            let (read, left) = rest.split_at(1 + dice.within(0, rest.len() as u64) as usize);
+            let (read, left) = rest.split_at(1 + random.within(0, rest.len() as u64) as usize);
             cuts.push(read);
             rest = left;
         }
-        assert_eq!(all(&cuts), whole, "{:?}", String::from_utf8_lossy(&bytes));
+        assert_eq!(read_all(&cuts), unsplit, "{:?}", String::from_utf8_lossy(&bytes));
         let single: Vec<&[u8]> = bytes.chunks(1).collect();
-        assert_eq!(all(&single), whole, "{:?}", String::from_utf8_lossy(&bytes));
-        failed += u32::from(whole.1);
+        assert_eq!(read_all(&single), unsplit, "{:?}", String::from_utf8_lossy(&bytes));
+        failed += u32::from(unsplit.1);
     }
     assert!((2_000..18_000).contains(&failed), "{failed} of 20,000 end in an error");
 }
 
 #[test]
-fn hello_may_come_as_a_line_and_nothing_else_may() {
-    let words = |line: &str| match take_command(&mut BytesMut::from(line), MAX_VALUE) {
-        Ok(Some(BytesFrame::Array(words))) => words.len(),
+fn hello_is_the_only_accepted_inline_command() {
+    let argument_count = |line: &str| match take_command(&mut BytesMut::from(line), MAX_VALUE) {
+        Ok(Some(BytesFrame::Array(arguments))) => arguments.len(),
         Ok(None) => 0,
         other => panic!("{line}: {other:?}"),
     };
-    let whole = "HELLO 3 AUTH me it\r\n";
-    (1..whole.len()).for_each(|cut| assert_eq!(words(&whole[..cut]), 0, "{cut}"));
-    assert_eq!((words(whole), words("hello\n"), words("HELLO  3 \r\n*1\r\n")), (5, 1, 2));
-    let long = format!("HELLO {}", "x".repeat(MAX_LINE));
+    let complete = "HELLO 3 AUTH me it\r\n";
+    (1..complete.len()).for_each(|cut| assert_eq!(argument_count(&complete[..cut]), 0, "{cut}"));
+    assert_eq!(
+        (argument_count(complete), argument_count("hello\n"), argument_count("HELLO  3 \r\n*1\r\n")),
+        (5, 1, 2)
+    );
+    let long = format!("HELLO {}", "x".repeat(MAX_LINE_LENGTH));
     for bad in ["HELP\r\n", "HELLOS 3\r\n", "PING\r\n", "GET k\r\n", &long] {
         assert!(take_command(&mut BytesMut::from(bad), MAX_VALUE).is_err(), "{bad:.10}");
     }
-    // What follows stays where it is.
+    // What follows stays in the buffer.
     let mut buffer = BytesMut::from("HELLO 3\r\n+PONG\r\n");
     assert!(take_command(&mut buffer, MAX_VALUE).unwrap().is_some());
     assert_eq!(buffer, "+PONG\r\n");
 }
 
 #[test]
-fn a_frame_is_taken_only_whole_and_bad_ones_are_told_apart() {
-    let whole = b"*2\r\n$3\r\nGET\r\n$1\r\nk\r\n";
-    for cut in 0..whole.len() {
-        assert_eq!(take_frame(&mut BytesMut::from(&whole[..cut])), Ok(None), "{cut}");
+fn a_frame_is_taken_only_when_complete_and_malformed_ones_are_rejected() {
+    let complete = b"*2\r\n$3\r\nGET\r\n$1\r\nk\r\n";
+    for cut in 0..complete.len() {
+        assert_eq!(take_frame(&mut BytesMut::from(&complete[..cut])), Ok(None), "{cut}");
     }
-    let mut two = BytesMut::from(&[whole.as_slice(), b"+PONG\r\n"].concat()[..]);
-    let words = ["GET", "k"].map(|w| BytesFrame::BulkString(Bytes::from(w))).to_vec();
-    assert_eq!(take_frame(&mut two), Ok(Some(BytesFrame::Array(words))));
+    let mut two = BytesMut::from(&[complete.as_slice(), b"+PONG\r\n"].concat()[..]);
+    let arguments = ["GET", "k"].map(|w| BytesFrame::BulkString(Bytes::from(w))).to_vec();
+    assert_eq!(take_frame(&mut two), Ok(Some(BytesFrame::Array(arguments))));
     assert_eq!(take_frame(&mut two), Ok(Some(BytesFrame::SimpleString("PONG".into()))));
     assert!(two.is_empty());
     let nested = "*1\r\n".repeat(100_000); // Would exhaust the stack of a decoder that recurses.
--- a/crates/mothpier/src/servers/answer_times.rs
+++ b/crates/mothpier/src/servers/answer_times.rs
@@ -1,74 +1,78 @@
-//! How soon a cache server can answer. Answers belong to commands by their place alone; a second answer that crosses the
-//! next command on its way would be taken for that one's, but comes sooner than the server could have answered it.
+//! Minimum answer times of cache servers. Answers are matched to commands by their order alone, so a
+//! duplicate answer that arrives after the next command was written would be taken for the answer to that
+//! one. It is recognised because it arrives sooner than the server could have answered.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A second answer to a command comes within this time of the first, or not.
-const SECOND_ANSWER: Duration = Duration::from_millis(100);
-/// An answer that takes less than this part of the least time seen is not believed where it may be a second one.
-const BELIEVED_PART: f64 = 0.25;
-/// So many answers make the least time known: of fewer the next one may well be much faster.
-const KNOWN_AFTER: u32 = 16;
+/// A duplicate answer arrives within this time of the first one, or not at all.
+const DUPLICATE_ANSWER_WINDOW: Duration = Duration::from_millis(100);
+/// An answer that may be a duplicate is rejected if it took less than this fraction of the minimum time seen.
+const MIN_PLAUSIBLE_FRACTION: f64 = 0.25;
+/// Number of answers from which the minimum is used; with fewer, the next answer could well be much faster.
+const MIN_SAMPLES: u32 = 16;
 
-/// A connection that was answered rests for this part of the time that the answer took, and no longer than the next.
-const SETTLES: (f64, Duration) = (0.25, Duration::from_millis(10));
-/// Shorter rests are left out: servers that answer as fast as that would be asked much less.
-const LEAST_REST: Duration = Duration::from_millis(1);
+/// Fraction of the answer time for which a connection settles after an answer.
+const SETTLE_FRACTION: f64 = 0.25;
+const MAX_SETTLE_TIME: Duration = Duration::from_millis(10);
+/// Shorter settling times are skipped: servers that answer this fast would lose much of their throughput.
+const MIN_SETTLE_TIME: Duration = Duration::from_millis(1);
 
-/// How long a connection rests behind an answer that took so long, so that a second answer comes before the next command
-/// is written and is seen for what it is.
-pub(super) fn settling_time(took: Duration) -> Option<Duration> {
-    let rest = took.mul_f64(SETTLES.0).min(SETTLES.1);
-    (rest >= LEAST_REST).then_some(rest)
+/// Returns how long a connection settles after an answer with the given answer time, so that a duplicate
+/// answer arrives before the next command is written and is recognised as such.
+pub(super) fn settling_time(answer_time: Duration) -> Option<Duration> {
+    let settle_time = answer_time.mul_f64(SETTLE_FRACTION).min(MAX_SETTLE_TIME);
+    (settle_time >= MIN_SETTLE_TIME).then_some(settle_time)
 }
 
-/// The least time of answers that were seen.
+/// The minimum time of the answers seen so far.
 #[derive(Default)]
-pub(super) struct LeastTime {
-    least: Cell<Duration>,
+pub(super) struct MinimumTime {
+    minimum: Cell<Duration>,
     answers: Cell<u32>,
 }
 
-impl LeastTime {
-    fn saw(&self, took: Duration) {
-        let least = if self.answers.get() == 0 { took } else { self.least.get().min(took) };
-        self.least.set(least);
+impl MinimumTime {
+    fn record(&self, answer_time: Duration) {
+        let minimum = if self.answers.get() == 0 { answer_time } else { self.minimum.get().min(answer_time) };
+        self.minimum.set(minimum);
         self.answers.set(self.answers.get().saturating_add(1));
     }
 
-    /// It, once so many answers were seen that the next one will hardly be much faster.
+    /// Returns the minimum once enough answers were seen that the next one is unlikely to be much faster.
     fn known(&self) -> Option<Duration> {
-        (self.answers.get() >= KNOWN_AFTER).then(|| self.least.get())
+        (self.answers.get() >= MIN_SAMPLES).then(|| self.minimum.get())
     }
 }
 
-/// The least time in which a server has answered, over all connections to it.
+/// The minimum answer time of one server, over all connections to it.
 #[derive(Default)]
 pub(super) struct AnswerTimes {
-    own: LeastTime,
-    /// Of all servers, which stands in while its own is not known.
-    all: Rc<LeastTime>,
+    own: MinimumTime,
+    /// The minimum over all servers, used until the server's own one is known.
+    all_servers: Rc<MinimumTime>,
 }
 
 impl AnswerTimes {
-    /// Of a server beside others.
-    pub(super) fn beside(all: &Rc<LeastTime>) -> Self {
-        AnswerTimes { own: LeastTime::default(), all: all.clone() }
+    /// Creates the answer times of one server, with those of all servers as a fallback.
+    pub(super) fn with_fallback(all_servers: &Rc<MinimumTime>) -> Self {
+        AnswerTimes { own: MinimumTime::default(), all_servers: all_servers.clone() }
     }
 
-    /// Whether an answer that came so long after its command was written can belong to it, where the answer before it on
-    /// the same connection came so long ago. One that can is taken into the least time.
-    pub(super) fn accept(&self, took: Duration, since_last_answer: Option<Duration>) -> bool {
-        let may_be_second = since_last_answer.is_some_and(|since| since < SECOND_ANSWER);
-        let least = self.own.known().or_else(|| self.all.known());
-        let is_too_soon = least.is_some_and(|least| took < least.mul_f64(BELIEVED_PART));
-        if may_be_second && is_too_soon {
+    /// Returns whether an answer that arrived `answer_time` after its command was written can belong to that
+    /// command, given the time since the previous answer on the same connection. An accepted answer is
+    /// included in the minimum.
+    pub(super) fn accept(&self, answer_time: Duration, since_last_answer: Option<Duration>) -> bool {
+        let may_be_duplicate = since_last_answer.is_some_and(|since| since < DUPLICATE_ANSWER_WINDOW);
+        let minimum = self.own.known().or_else(|| self.all_servers.known());
+        let is_too_soon =
+            minimum.is_some_and(|minimum| answer_time < minimum.mul_f64(MIN_PLAUSIBLE_FRACTION));
+        if may_be_duplicate && is_too_soon {
             return false;
         }
-        self.own.saw(took);
-        self.all.saw(took);
+        self.own.record(answer_time);
+        self.all_servers.record(answer_time);
         true
     }
 }
--- a/crates/mothpier/src/servers/command.rs
+++ b/crates/mothpier/src/servers/command.rs
@@ -1,4 +1,4 @@
-//! A command that is to be written to a cache server, and what the server owes for it.
+//! A command to be written to a cache server, and the reply that is expected for it.
 
 use std::time::Instant;
 
@@ -10,22 +10,23 @@
 
 /// What is written for an attempt.
 pub enum Payload {
-    /// It asks for the load only, which has another answer.
+    /// A request for the load report alone, which has an answer of its own form.
     Probe(Bytes),
-    /// A client's command, which tells how much time is left as its first byte is written.
+    /// A client's command, which states the remaining time as of its first written byte.
     Request(TimeBudget),
 }
 
-/// A command that is to be written.
+/// A command to be written.
 pub struct Command {
     pub attempt: AttemptId,
     pub payload: Payload,
-    /// `ASKING` goes right before it.
+    /// Whether `ASKING` is sent right before it.
     pub asking: bool,
 }
 
 impl Command {
-    /// What goes out if its first byte is written now. `ASKING` is part of the same write, so that nothing comes between.
+    /// Returns the bytes to send if writing begins now. `ASKING` is part of the same write, so that nothing
+    /// can come between.
     pub(super) fn bytes(&self, now: Instant) -> Bytes {
         let bytes = match &self.payload {
             Payload::Probe(bytes) => bytes.clone(),
@@ -37,27 +38,27 @@
         [resp::command(["ASKING".into()]), bytes].concat().into()
     }
 
-    /// Whether nobody waits for it any more, so that it is not begun.
+    /// Returns whether nobody waits for the command any more, so that writing it must not begin.
     pub(super) fn is_cancelled(&self, now: Instant) -> bool {
         matches!(&self.payload, Payload::Request(budget) if budget.command.cancel.is_cancelled(now))
     }
 
-    /// What its server owes for it.
-    pub(super) fn owed(&self) -> Owed {
+    /// Returns the reply that is expected for the command.
+    pub(super) fn expected_reply(&self) -> ExpectedReply {
         match self.payload {
-            Payload::Probe(_) => Owed::Report,
-            Payload::Request(_) => Owed::Answer,
+            Payload::Probe(_) => ExpectedReply::LoadReport,
+            Payload::Request(_) => ExpectedReply::Answer,
         }
     }
 }
 
-/// What is owed for something that was written.
+/// The reply that is expected for something written.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Owed {
+pub(super) enum ExpectedReply {
     /// The answer to a request.
     Answer,
-    /// The load.
-    Report,
-    /// A word that changes nothing, for `ASKING` or `READONLY`.
-    Word,
+    /// The load report.
+    LoadReport,
+    /// The acknowledgement of `ASKING` or `READONLY`, which carries no result.
+    Acknowledgement,
 }
--- a/crates/mothpier/src/servers/connection.rs
+++ b/crates/mothpier/src/servers/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a cache server: the task that makes it and carries its commands until it ends.
+//! A connection to a cache server: the task that establishes it and carries its commands until it ends.
 
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -12,99 +12,102 @@
 
 use super::Limits;
 use super::answer_times::AnswerTimes;
-use super::command::{Command, Owed};
-use super::line::{Begun, Sent, Shared};
+use super::command::{Command, ExpectedReply};
+use super::pipeline::{BegunWrite, SentCommand, SharedState};
 use super::reader::Reader;
 use crate::messages::{NodeInput, ServerEvent};
 use crate::metrics::{Metrics, ServerCloseReason};
 use crate::resp;
 
-/// A connection as the node sees it; dropping it closes it.
+/// The node's handle of a connection; dropping it closes the connection.
 pub(super) struct Connection<N: Net> {
     pub(super) number: u64,
-    pub(super) shared: Rc<Shared>,
+    pub(super) shared: Rc<SharedState>,
     pub(super) task: N::Task,
-    pub(super) used: Instant,
-    /// It leads to an address that its server has left: it ends what it carries and gets nothing new.
+    pub(super) last_used: Instant,
+    /// The server has left the address or is not ready: pending commands are finished, and no new ones are
+    /// sent.
     pub(super) retired: bool,
-    /// How many connections there are to all servers.
-    pub(super) all: Rc<Cell<usize>>,
-    /// Where its end is counted.
+    /// The number of connections to all servers.
+    pub(super) connection_count: Rc<Cell<usize>>,
+    /// Counts closed connections.
     pub(super) figures: Rc<Metrics>,
-    /// Why it ends, once that is known.
+    /// The reason recorded when the connection is closed.
     pub(super) close_reason: Cell<ServerCloseReason>,
 }
 
 impl<N: Net> Drop for Connection<N> {
     fn drop(&mut self) {
-        self.all.set(self.all.get() - 1);
+        self.connection_count.set(self.connection_count.get() - 1);
         self.figures.server_closed(self.close_reason.get());
         self.task.abort();
     }
 }
 
 impl<N: Net> Connection<N> {
-    /// Commands that it carries.
-    pub(super) fn load(&self) -> usize {
-        self.shared.line.borrow().load()
+    /// Returns the number of commands on the connection.
+    pub(super) fn command_count(&self) -> usize {
+        self.shared.pipeline.borrow().command_count()
     }
 
-    /// Whether it stands.
+    /// Returns whether the connection is established.
     pub(super) fn up(&self) -> bool {
-        self.shared.line.borrow().up
+        self.shared.pipeline.borrow().up
     }
 
-    /// Whether it is kept; one that is not ends for a reason.
-    pub(super) fn is_kept(&self, kept: bool, reason: ServerCloseReason) -> bool {
-        if !kept {
+    /// Returns `keep`; if that is `false`, sets the close reason.
+    pub(super) fn keep_or_close(&self, keep: bool, reason: ServerCloseReason) -> bool {
+        if !keep {
             self.close_reason.set(reason);
         }
-        kept
+        keep
     }
 
-    /// Whether a command could be answered on it at once.
-    pub(super) fn free(&self) -> bool {
-        self.up() && self.load() == 0 && !self.retired && !self.shared.line.borrow().ending
+    /// Returns whether the connection is idle and usable, so that a command could be answered at once.
+    pub(super) fn is_available(&self) -> bool {
+        self.up() && self.command_count() == 0 && !self.retired && !self.shared.pipeline.borrow().ending
     }
 
-    /// Lets a command be written on it.
+    /// Queues a command for writing.
     pub(super) fn push(&mut self, command: Command, now: Instant) {
-        self.used = now;
-        self.shared.line.borrow_mut().unsent.push_back(command);
+        self.last_used = now;
+        self.shared.pipeline.borrow_mut().unsent.push_back(command);
         self.shared.wake.notify_one();
     }
 }
 
-/// The end of a connection that its task holds.
+/// The state of the task that drives a connection.
 pub(super) struct Driver<N: Net> {
     pub(super) net: N,
     pub(super) number: u64,
     pub(super) address: SocketAddr,
     pub(super) limits: Limits,
-    pub(super) shared: Rc<Shared>,
-    /// How soon its server answers.
+    pub(super) shared: Rc<SharedState>,
+    /// The answer times of its server.
     pub(super) answer_times: Rc<AnswerTimes>,
     pub(super) events: mpsc::Sender<NodeInput>,
 }
 
 impl<N: Net> Driver<N> {
-    /// Carries the connection until it ends, and tells the node what that leaves open.
+    /// Runs the connection until it ends, and then reports the attempts that are left without an answer.
     pub(super) async fn run(self) {
         let refused = self.drive().await;
-        // Nothing new goes there; what it carries stays on record until the node can be told of its end.
-        self.shared.line.borrow_mut().ending = true;
-        let Ok(place) = self.events.reserve().await else { return };
-        let mut line = std::mem::take(&mut *self.shared.line.borrow_mut());
-        self.shared.line.borrow_mut().ending = true;
-        place.send(self.input(line.end(refused)));
+        // No new commands are accepted; the pending ones stay on record until the end can be reported to the
+        // node.
+        self.shared.pipeline.borrow_mut().ending = true;
+        let Ok(permit) = self.events.reserve().await else { return };
+        let mut pipeline = std::mem::take(&mut *self.shared.pipeline.borrow_mut());
+        self.shared.pipeline.borrow_mut().ending = true;
+        permit.send(self.input(pipeline.take_all(refused)));
     }
 
-    /// What the node is told of this connection.
+    /// Wraps an event of this connection for the node.
     pub(super) fn input(&self, event: ServerEvent) -> NodeInput {
         NodeInput::Server { server: self.shared.server.get(), number: self.number, event }
     }
 
-    /// Makes the connection and carries its commands until it ends; whether it was refused.
+    /// Establishes the connection and carries its commands until it ends. Returns whether the connection was
+    /// refused.
     async fn drive(&self) -> bool {
         let stream = match self.net.timeout(self.limits.connect_timeout, self.net.connect(self.address)).await
         {
@@ -113,25 +116,32 @@
             None => return false,
         };
         stream.set_nodelay();
-        self.shared.line.borrow_mut().up = true;
+        self.shared.pipeline.borrow_mut().up = true;
         if self.events.send(self.input(ServerEvent::Up)).await.is_err() {
             return false;
         }
-        let (reading, mut writing) = stream.split();
-        // Both halves outlive the two: they are dropped together, once the connection has ended.
-        let reader = Reader::new(self, &reading).run();
-        let writer = self.write(&mut writing);
-        // The reader first: a close by the server is noticed before anything more is written to it.
+        let (read_half, mut write_half) = stream.split();
+        // Both halves outlive the reader and the writer: they are dropped together, once the connection has
+        // ended.
+        let reader = Reader::new(self, &read_half).run();
+        let writer = self.write(&mut write_half);
+        // The reader is polled first, so that a close by the server is noticed before anything more is
+        // written to it.
         tokio::select! { biased; () = reader => {}, () = writer => {} }
         false
     }
 
-    /// Writes commands as they come, until that fails.
-    async fn write<W: AsyncWrite + Unpin>(&self, writing: &mut W) {
+    /// Writes commands as they are queued, until a write fails.
+    async fn write<W: AsyncWrite + Unpin>(&self, write_half: &mut W) {
         if self.limits.read_copies {
-            let word = Sent { attempt: 0, owed: Owed::Word, given_up: false, written: self.net.now() };
-            self.shared.line.borrow_mut().sent.push_back(word);
-            if writing.write_all(&resp::command(["READONLY".into()])).await.is_err() {
+            let acknowledgement = SentCommand {
+                attempt: 0,
+                expected_reply: ExpectedReply::Acknowledgement,
+                given_up: false,
+                written: self.net.now(),
+            };
+            self.shared.pipeline.borrow_mut().sent.push_back(acknowledgement);
+            if write_half.write_all(&resp::command(["READONLY".into()])).await.is_err() {
                 return;
             }
         }
@@ -140,27 +150,34 @@
                 self.shared.wake.notified().await;
             }
             if let Some(settled) = self.shared.unsettled_until(self.net.now()) {
-                // What waits here is unsent: it may be taken back meanwhile.
+                // The command stays unsent meanwhile, so that it can be withdrawn.
                 self.net.sleep_until(settled).await;
                 continue;
             }
-            // Once round the runtime: a close that has come in is read before anything more is written.
+            // Yield to the runtime once, so that a close by the server is read before anything more is
+            // written.
             self.net.yield_now().await;
-            let begun = poll_fn(|cx| self.shared.begin(cx, writing, self.net.now())).await;
-            let Some(begun) = begun else { continue };
-            let Ok(Begun { command, rest }) = begun else { return };
-            if writing.write_all(&rest).await.is_err() {
+            let begun_write = poll_fn(|cx| self.shared.begin_write(cx, write_half, self.net.now())).await;
+            let Some(begun_write) = begun_write else { continue };
+            let Ok(BegunWrite { command, rest }) = begun_write else { return };
+            if write_half.write_all(&rest).await.is_err() {
                 return;
             }
-            // No await since the last byte was written: it is on record before an answer can be read.
-            let mut line = self.shared.line.borrow_mut();
-            let given_up = line.writing.take().is_some_and(|(_, given_up)| given_up);
-            let owed = command.owed();
-            if owed == Owed::Answer {
+            // There is no await after the last byte was written, so the command is on record before its
+            // answer can be read.
+            let mut pipeline = self.shared.pipeline.borrow_mut();
+            let given_up = pipeline.writing.take().is_some_and(|(_, given_up)| given_up);
+            let expected_reply = command.expected_reply();
+            if expected_reply == ExpectedReply::Answer {
                 self.limits.figures.attempt();
             }
             let written = self.net.now();
-            line.sent.push_back(Sent { attempt: command.attempt, owed, given_up, written });
+            pipeline.sent.push_back(SentCommand {
+                attempt: command.attempt,
+                expected_reply,
+                given_up,
+                written,
+            });
         }
     }
 }
--- a/crates/mothpier/src/servers/large_value.rs
+++ b/crates/mothpier/src/servers/large_value.rs
@@ -1,4 +1,4 @@
-//! Passes a value that is too large to be held on to its client as it comes.
+//! Streams values that are too large to be buffered to their clients.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -10,98 +10,103 @@
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::{Semaphore, mpsc};
 
-use super::line::Shared;
+use super::pipeline::SharedState;
 use crate::resp;
 
-/// A value that is passed on has stopped when nothing more of it has come for so long while its client would take more.
-const STALLED: Duration = Duration::from_secs(2);
-/// Read at once of a value that is passed on.
-const READ_PASSED: usize = 16 * 1024;
+/// A streamed value is aborted if nothing more of it arrives for this long while its client would accept
+/// more.
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Bytes read at once of a streamed value.
+const READ_SIZE: usize = 16 * 1024;
 
-/// Passes a value on as it comes, and gives the frame that it would have been with nothing for the value; `None` where
-/// the connection has to end. What nobody takes any more is read to its end only if others wait behind it. What is taken
-/// slowly is held while others wait behind it, as far as there is memory: one client's answers come in the order of its
-/// commands, so that what it waits for may stand behind the very value that it does not take yet.
-pub(super) async fn pass_on<R: ReadHalf>(
+/// Streams a value to its client and returns the answer's frame with an empty value in its place, or `None`
+/// if the connection must be closed.
+///
+/// If the client is gone, the value is read to its end only if other commands wait behind it. If the client
+/// reads slowly while other commands wait behind the value, the rest is buffered as far as memory permits.
+/// That avoids a deadlock: a client's answers are sent in the order of its commands, so the answer that the
+/// client waits for may come behind the very value that it is not reading yet.
+pub(super) async fn stream_value<R: ReadHalf>(
     net: &impl Net,
-    (shared, memory): (&Shared, &Arc<Semaphore>),
-    reading: &R,
+    (shared, memory): (&SharedState, &Arc<Semaphore>),
+    read_half: &R,
     buffer: &mut BytesMut,
-    begun: resp::Begun,
-    put: mpsc::Sender<Bytes>,
+    header: resp::LargeValueHeader,
+    client: mpsc::Sender<Bytes>,
 ) -> Option<BytesFrame> {
-    shared.line.borrow_mut().passing = true;
-    let more = async |buffer: &mut BytesMut, within| loop {
+    shared.pipeline.borrow_mut().streaming = true;
+    let read_more = async |buffer: &mut BytesMut, timeout| loop {
         let read = async {
-            reading.readable().await?;
-            buffer.reserve(READ_PASSED);
-            reading.try_read_buf(buffer)
+            read_half.readable().await?;
+            buffer.reserve(READ_SIZE);
+            read_half.try_read_buf(buffer)
         };
-        match net.timeout(within, read).await? {
+        match net.timeout(timeout, read).await? {
             Ok(n) if n > 0 => return Some(()),
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             _ => return None,
         }
     };
-    buffer.advance(begun.head);
-    let (mut left, mut taken, mut held) = (begun.length, true, None);
-    while left > 0 {
+    buffer.advance(header.head);
+    let (mut remaining, mut client_is_reading, mut buffered) = (header.length, true, None);
+    while remaining > 0 {
         if buffer.is_empty() {
-            more(buffer, STALLED).await?;
+            read_more(buffer, STALL_TIMEOUT).await?;
         }
-        let part = buffer.split_to(left.min(buffer.len())).freeze();
-        left -= part.len();
-        if let Some((_, parts)) = &mut held {
-            let parts: &mut Vec<Bytes> = parts;
-            parts.push(part);
-        } else if taken {
-            taken = match put.try_send(part) {
+        let chunk = buffer.split_to(remaining.min(buffer.len())).freeze();
+        remaining -= chunk.len();
+        if let Some((_, chunks)) = &mut buffered {
+            let chunks: &mut Vec<Bytes> = chunks;
+            chunks.push(chunk);
+        } else if client_is_reading {
+            client_is_reading = match client.try_send(chunk) {
                 Ok(()) => true,
                 Err(TrySendError::Closed(_)) => false,
-                Err(TrySendError::Full(part)) => {
-                    let kb = (left + part.len()).div_ceil(1024) as u32;
-                    let room = shared.carries_more().then(|| memory.clone().try_acquire_many_owned(kb).ok());
-                    match room.flatten() {
+                Err(TrySendError::Full(chunk)) => {
+                    let kb = (remaining + chunk.len()).div_ceil(1024) as u32;
+                    let reservation =
+                        shared.has_other_commands().then(|| memory.clone().try_acquire_many_owned(kb).ok());
+                    match reservation.flatten() {
                         Some(permit) => {
-                            held = Some((permit, vec![part]));
+                            buffered = Some((permit, vec![chunk]));
                             true
                         }
-                        None => put.send(part).await.is_ok(),
+                        None => client.send(chunk).await.is_ok(),
                     }
                 }
             };
         }
-        if !taken && !shared.carries_more() {
+        if !client_is_reading && !shared.has_other_commands() {
             return None;
         }
     }
-    // The connection goes on; what is held is its client's, as soon as that one takes it.
-    if let Some((permit, parts)) = held {
+    // The connection can go on; a task sends the buffered rest as the client accepts it.
+    if let Some((permit, chunks)) = buffered {
         net.spawn(async move {
             let _permit = permit;
-            for part in parts {
-                if put.send(part).await.is_err() {
+            for chunk in chunks {
+                if client.send(chunk).await.is_err() {
                     return;
                 }
             }
         });
     } else {
-        drop(put);
+        drop(client);
     }
     while buffer.len() < 2 {
-        more(buffer, STALLED).await?;
+        read_more(buffer, STALL_TIMEOUT).await?;
     }
     if buffer.split_to(2) != b"\r\n"[..] {
         return None;
     }
     let mut frames = vec![BytesFrame::BulkString(Bytes::new())];
-    while frames.len() <= begun.behind {
+    while frames.len() <= header.trailing_frames {
         match resp::take_frame(buffer) {
             Ok(Some(frame)) => frames.push(frame),
-            Ok(None) => more(buffer, STALLED).await?,
+            Ok(None) => read_more(buffer, STALL_TIMEOUT).await?,
             Err(_) => return None,
         }
     }
-    shared.line.borrow_mut().passing = false;
-    Some(if begun.behind == 0 { frames.remove(0) } else { BytesFrame::Array(frames) })
+    shared.pipeline.borrow_mut().streaming = false;
+    Some(if header.trailing_frames == 0 { frames.remove(0) } else { BytesFrame::Array(frames) })
 }
--- a/crates/mothpier/src/servers/recently_used.rs
+++ b/crates/mothpier/src/servers/recently_used.rs
@@ -1,43 +1,45 @@
-//! Which connection to a cache server has been idle longest: with more servers than a node may hold connections, that one
-//! makes room for the next.
+//! Finds the connection to a cache server that has been idle longest. If there are more servers than a node
+//! may hold connections, that one is closed to make room for the next.
 
 use std::collections::VecDeque;
 use std::time::Instant;
 
 use brassrouter::ServerId;
 
-/// A connection, and when it had last been used as it was looked at.
+/// A connection, and its last use as of when it was last examined.
 struct Entry {
     server: ServerId,
     number: u64,
-    used: Instant,
+    last_used: Instant,
 }
 
-/// What has become of a connection.
+/// The current state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// It is no more.
+    /// It no longer exists.
     Closed,
-    /// It is being made, or carries something.
+    /// It is being established, or carries commands.
     Busy,
-    /// It carries nothing since this time.
+    /// It has carried nothing since this time.
     Idle(Instant),
 }
 
-/// All connections, about in the order of their last use: those used since they were last looked at go to the end.
+/// All connections, approximately in the order of their last use: those used since they were last examined
+/// are moved to the back.
 #[derive(Default)]
 pub(super) struct RecentlyUsed {
     entries: VecDeque<Entry>,
 }
 
 impl RecentlyUsed {
-    /// A connection is made.
+    /// Adds a new connection.
     pub(super) fn opened(&mut self, server: ServerId, number: u64, now: Instant) {
-        self.entries.push_back(Entry { server, number, used: now });
+        self.entries.push_back(Entry { server, number, last_used: now });
     }
 
-    /// Takes out the connection that has been idle longest, if that is since a time before `idle_since`. Each look at a
-    /// connection that was used meanwhile moves it, so that the looks are about as many as the uses.
+    /// Removes and returns the connection that has been idle longest, if it has been idle since `idle_since`
+    /// or longer. Examining a connection that was used meanwhile moves it to the back, so the total cost is
+    /// about one step per use.
     pub(super) fn take_idle(
         &mut self,
         now: Instant,
@@ -48,9 +50,13 @@
             let entry = self.entries.pop_front()?;
             match state(entry.server, entry.number) {
                 State::Closed => {}
-                State::Busy => self.entries.push_back(Entry { used: now, ..entry }),
-                State::Idle(used) if used > entry.used => self.entries.push_back(Entry { used, ..entry }),
-                State::Idle(used) if used <= idle_since => return Some((entry.server, entry.number)),
+                State::Busy => self.entries.push_back(Entry { last_used: now, ..entry }),
+                State::Idle(last_used) if last_used > entry.last_used => {
+                    self.entries.push_back(Entry { last_used, ..entry })
+                }
+                State::Idle(last_used) if last_used <= idle_since => {
+                    return Some((entry.server, entry.number));
+                }
                 State::Idle(_) => {
                     self.entries.push_front(entry);
                     return None;
@@ -60,7 +66,7 @@
         None
     }
 
-    /// How many connections are remembered, closed ones that were not looked at since among them.
+    /// Returns the number of entries, including closed connections that were not examined since.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.entries.len()
--- a/crates/mothpier/src/servers/tests.rs
+++ b/crates/mothpier/src/servers/tests.rs
@@ -5,17 +5,16 @@
 use bytes::Bytes;
 use mothpier_net::Tokio;
 
-use super::line::{Line, Shared};
-use super::pool::SETTLED;
+use super::pipeline::{Pipeline, SharedState};
+use super::pool::RECENTLY_ANSWERED;
 use super::*;
 use crate::messages::{self, OpenRequestIds, RequestIdClaim};
 use crate::resp;
 use crate::time_budget::TimeBudget;
 
-/// A rule of drains: what still waits for its connection when the notice comes is never written.
-/// A server leaves the list while its answer is on its way from the connection to the node: the answer counts.
+/// An event that is already in the queue when its server is removed from the list still ends its attempt.
 #[test]
-fn the_last_word_of_a_server_that_is_forgotten_still_ends_its_attempt() {
+fn an_event_that_arrives_after_its_server_was_removed_still_ends_the_attempt() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -37,25 +36,25 @@
             }
             let Some(NodeInput::Server { server, number, event }) = inputs.recv().await else { panic!() };
             servers.listed(1, None, false);
-            assert_eq!(servers.len(), 0, "it owes nothing any more");
+            assert_eq!(servers.len(), 0, "the server was not removed");
             let ended = servers.event(server, number, event);
             match &ended[..] {
                 [(7, Ended::Answered(_))] if answers => {}
                 [(7, Ended::Reset)] if !answers => {}
-                _ => panic!("{} ends", ended.len()),
+                _ => panic!("{} attempts ended", ended.len()),
             }
         }
     });
 }
 
-/// Lets everything else on the runtime run, and it look at the sockets: what has been written on loopback has come.
-async fn settle() {
+/// Lets all other tasks run and the runtime poll the sockets, so that data written on loopback has arrived.
+async fn let_others_run() {
     for _ in 0..1000 {
         tokio::task::yield_now().await;
     }
 }
 
-fn local<T>(test: impl Future<Output = T>) -> T {
+fn run_local<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
@@ -64,7 +63,7 @@
     request(attempt, None)
 }
 
-/// A client's command whose last word, where it has no value, is `k`.
+/// A client's command whose last argument is `k` if it has no value.
 fn request(attempt: AttemptId, value: Option<Bytes>) -> Command {
     let id = Bytes::from_static(b"i");
     let claim = RequestIdClaim::of(&OpenRequestIds::default(), &id).unwrap();
@@ -84,8 +83,8 @@
     Command { attempt, payload, asking: false }
 }
 
-/// A server with one connection that carries an attempt, and a queue of one place that somebody else has taken.
-async fn answered_before_a_full_queue(
+/// A server with one connection that carries an attempt, and an event queue whose only place is taken.
+async fn answer_before_full_queue(
     ends: bool,
 ) -> (Servers<Tokio>, mpsc::Receiver<NodeInput>, tokio::net::TcpStream) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -98,69 +97,71 @@
     let Some(NodeInput::Server { number, event, .. }) = inputs.recv().await else { panic!() };
     servers.event(1, number, event);
     assert!(stream.read(&mut [0; 64]).await.unwrap() > 0);
-    let (census, _) = tokio::sync::oneshot::channel();
-    assert!(events.try_send(NodeInput::ResourceCounts(census)).is_ok());
+    let (resource_counts, _) = tokio::sync::oneshot::channel();
+    assert!(events.try_send(NodeInput::ResourceCounts(resource_counts)).is_ok());
     if ends {
         stream.shutdown().await.unwrap();
     } else {
         stream.write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n").await.unwrap();
     }
-    settle().await;
+    let_others_run().await;
     (servers, inputs, stream)
 }
 
-/// The answer, or the end, has been read and its word waits for a place in the queue: nobody may conclude from its
-/// record, or the want of one, that the attempt never ran.
+/// The answer, or the end of the connection, has been read, and its event waits for a place in the queue.
+/// Meanwhile the node must not conclude from the connection's record, or from a missing one, that the attempt
+/// never ran.
 #[test]
-fn an_attempt_whose_last_word_waits_for_the_queue_may_have_run() {
+fn an_attempt_whose_final_event_waits_for_the_queue_may_have_run() {
     for ends in [false, true] {
-        local(async {
-            let (mut servers, _inputs, _stream) = answered_before_a_full_queue(ends).await;
-            assert!(servers.give_up(1, 7), "taken for never sent, ends: {ends}");
-            assert!(servers.give_up(1, 7), "nothing on record proves nothing, ends: {ends}");
-            assert!(servers.give_up(9, 7), "nor does a server that nobody knows");
+        run_local(async {
+            let (mut servers, _inputs, _stream) = answer_before_full_queue(ends).await;
+            assert!(servers.give_up(1, 7), "counted as never sent, ends: {ends}");
+            assert!(servers.give_up(1, 7), "a missing record counted as never sent, ends: {ends}");
+            assert!(servers.give_up(9, 7), "an unknown server counted as never sent");
         });
     }
 }
 
-/// A connection with its last word still to say outlives the drain, the close of what is idle and the sweep.
+/// A connection whose final event still waits for the queue must not be dropped by a drain, by closing idle
+/// connections or by removing unused servers.
 #[test]
-fn the_last_word_of_a_connection_outlives_its_drain_and_the_close_of_what_is_idle() {
+fn the_final_event_of_a_connection_survives_a_drain_and_the_closing_of_idle_connections() {
     for ends in [false, true] {
         for drains in [false, true] {
-            local(async {
-                let (mut servers, mut inputs, _stream) = answered_before_a_full_queue(ends).await;
+            run_local(async {
+                let (mut servers, mut inputs, _stream) = answer_before_full_queue(ends).await;
                 servers.close_idle(1);
                 if drains {
                     servers.listed(1, None, false);
                 }
-                settle().await;
+                let_others_run().await;
                 assert!(matches!(inputs.recv().await, Some(NodeInput::ResourceCounts(_))));
-                settle().await;
+                let_others_run().await;
                 let Ok(NodeInput::Server { server, number, event }) = inputs.try_recv() else {
-                    panic!("the last word is lost, ends: {ends}, drains: {drains}")
+                    panic!("the final event was lost, ends: {ends}, drains: {drains}")
                 };
                 match &servers.event(server, number, event)[..] {
                     [(7, Ended::Answered(_))] if !ends => {}
                     [(7, Ended::Reset)] if ends => {}
-                    other => panic!("{} ends", other.len()),
+                    other => panic!("{} attempts ended", other.len()),
                 }
             });
         }
     }
 }
 
-/// An answer stops short right behind its value, and the next command's follows: that one must not pass for the rest
-/// of the first, or the command behind it would be given another's value.
+/// An answer is truncated right behind its value, and the next command's answer follows. The latter must not
+/// be taken for the rest of the first one, or the command behind it would receive another command's value.
 #[test]
-fn an_answer_that_stops_short_does_not_swallow_the_next_one() {
+fn a_truncated_answer_does_not_consume_the_next_one() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let whole = "*3\r\n$1\r\nb\r\n$3\r\nhit\r\n$-1\r\n";
+    let complete_answer = "*3\r\n$1\r\nb\r\n$3\r\nhit\r\n$-1\r\n";
     let cuts = ["*3\r\n$1\r\na\r\n", "*3\r\n$1\r\na\r\n+OK\r\n", "*3\r\n$1\r\na\r\n$3\r\nhit\r\n"];
-    // The next one may be a value, or a word of failure or of being turned away.
-    let nexts = [whole, "-ERR failed\r\n", "-BUSY\r\n"];
+    // The next answer may be a value, an error or a refusal.
+    let nexts = [complete_answer, "-ERR failed\r\n", "-BUSY\r\n"];
     for (short, next) in cuts.iter().flat_map(|cut| nexts.map(|next| (cut, next))) {
-        local(async {
+        run_local(async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
             let (events, mut inputs) = mpsc::channel(8);
             let mut servers = Servers::new(Tokio, limits(32), events);
@@ -169,10 +170,10 @@
             let (mut stream, _) = listener.accept().await.unwrap();
             let Some(NodeInput::Server { number, event, .. }) = inputs.recv().await else { panic!() };
             servers.event(1, number, event);
-            // Behind the first on its connection, as if no other could be had.
+            // Queued behind the first one on its connection, as if no other connection were available.
             let pool = servers.pools.get_mut(&1).unwrap();
             assert!(pool.append(get(8), 32, Instant::now()) && pool.append(get(9), 32, Instant::now()));
-            settle().await;
+            let_others_run().await;
             assert!(stream.read(&mut [0; 256]).await.unwrap() > 0);
             stream.write_all(format!("{short}{next}{next}").as_bytes()).await.unwrap();
             let mut answered = Vec::new();
@@ -191,24 +192,25 @@
     }
 }
 
-/// One of hundreds of nodes, where a connection carries one attempt at a time: two requests for one server at once
-/// are two connections, not one and a failure that never was.
+/// One of hundreds of nodes, where a connection carries one attempt at a time: concurrent requests to one
+/// server need a connection each. Limited to one connection, the node would fail the second attempt itself.
 #[test]
-fn of_many_nodes_one_still_has_a_connection_for_each_attempt() {
-    local(async {
+fn one_of_many_nodes_opens_a_connection_for_each_attempt() {
+    run_local(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (events, _inputs) = mpsc::channel(8);
         let mut servers =
             Servers::new(Tokio, Limits { balancers: 300, descriptors: 64, ..limits(1) }, events);
         servers.listed(1, listener.local_addr().ok(), true);
-        assert!((1..=3).all(|attempt| servers.send(1, get(attempt))), "shut out by itself");
+        assert!((1..=3).all(|attempt| servers.send(1, get(attempt))), "an attempt got no connection");
     });
 }
 
-/// Of two connections the one that was answered a moment ago is not written to: a second answer may be on its way.
+/// Of two connections, the one that was answered a moment ago is not written to: a duplicate answer may
+/// follow.
 #[test]
-fn what_was_answered_a_moment_ago_rests_while_another_connection_is_free() {
-    local(async {
+fn a_connection_answered_a_moment_ago_is_not_used_while_another_one_is_free() {
+    run_local(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (events, mut inputs) = mpsc::channel(8);
         let mut servers = Servers::new(Tokio, limits(1), events);
@@ -219,59 +221,63 @@
             servers.event(1, number, event);
         }
         let pool = servers.pools.get_mut(&1).unwrap();
-        let (just, long) = (pool.connections[0].number, pool.connections[1].number);
+        let (recent, older) = (pool.connections[0].number, pool.connections[1].number);
         for c in &mut pool.connections {
-            *c.shared.line.borrow_mut() = Line { up: true, ..Line::default() };
+            *c.shared.pipeline.borrow_mut() = Pipeline { up: true, ..Pipeline::default() };
         }
-        pool.connections[1].used -= SETTLED;
-        servers.event(1, just, Event::Answer(7, BytesFrame::Null));
+        pool.connections[1].last_used -= RECENTLY_ANSWERED;
+        servers.event(1, recent, Event::Answer(7, BytesFrame::Null));
         assert!(servers.send(1, get(9)));
-        let carries =
-            |number| servers.pools[&1].connections.iter().any(|c| c.number == number && c.load() > 0);
-        assert!(carries(long) && !carries(just));
+        let carries = |number| {
+            servers.pools[&1].connections.iter().any(|c| c.number == number && c.command_count() > 0)
+        };
+        assert!(carries(older) && !carries(recent));
     });
 }
 
-/// A socket that takes not one byte more: the command that is next counts as unsent, so that a drain takes it back like
-/// all behind it, and nothing of it comes once the server reads again.
+/// A socket that accepts not one byte more: the next command counts as unsent, so that a drain withdraws it
+/// with those behind it, and no byte of it arrives once the server reads again.
 #[test]
-fn what_a_full_socket_took_no_byte_of_can_be_taken_back() {
+fn a_command_of_which_a_full_socket_accepted_no_byte_can_be_withdrawn() {
     use tokio::io::AsyncReadExt;
-    local(async {
+    run_local(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut socket = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (mut server, _) = listener.accept().await.unwrap();
-        // To its last byte: the room that is left grows while what was written is taken in.
-        let (mut filled, mut quiet) = (0, 0);
-        while quiet < 20 {
-            match socket.try_write(if quiet == 0 { &[b'.'; 4096] } else { b"." }) {
-                Ok(n) => (filled, quiet) = (filled + n, 0),
-                Err(_) => quiet += 1,
+        // Filled to the last byte: the free space grows while the kernel processes what was written.
+        let (mut filled, mut blocked_writes) = (0, 0);
+        while blocked_writes < 20 {
+            match socket.try_write(if blocked_writes == 0 { &[b'.'; 4096] } else { b"." }) {
+                Ok(n) => (filled, blocked_writes) = (filled + n, 0),
+                Err(_) => blocked_writes += 1,
             }
             tokio::task::yield_now().await;
         }
-        let shared = Shared::default();
-        shared.line.borrow_mut().unsent.push_back(get(7));
-        let begun = poll_fn(|cx| Poll::Ready(shared.begin(cx, &mut socket, Instant::now()))).await;
+        let shared = SharedState::default();
+        shared.pipeline.borrow_mut().unsent.push_back(get(7));
+        let begun = poll_fn(|cx| Poll::Ready(shared.begin_write(cx, &mut socket, Instant::now()))).await;
         assert!(begun.is_pending(), "the socket is not full");
-        let line = shared.line.take();
-        assert!(line.writing.is_none() && line.sent.is_empty(), "begun, though not a byte has gone out");
-        assert_eq!(line.unsent.len(), 1);
-        // Taken back; the server reads all, and more of the socket's room than the command needs is free.
+        let pipeline = shared.pipeline.take();
+        assert!(
+            pipeline.writing.is_none() && pipeline.sent.is_empty(),
+            "marked as being written, though no byte was sent"
+        );
+        assert_eq!(pipeline.unsent.len(), 1);
+        // Withdrawn. The server reads everything, so the socket has more free space than the command needs.
         let mut all = vec![0; filled];
         server.read_exact(&mut all).await.unwrap();
-        let begun = poll_fn(|cx| shared.begin(cx, &mut socket, Instant::now())).await;
+        let begun = poll_fn(|cx| shared.begin_write(cx, &mut socket, Instant::now())).await;
         assert!(begun.is_none());
         drop(socket);
-        assert_eq!(server.read(&mut [0]).await.unwrap(), 0, "it came all the same");
+        assert_eq!(server.read(&mut [0]).await.unwrap(), 0, "bytes of the withdrawn command arrived");
     });
 }
 
-/// More than two sockets hold.
+/// More bytes than the buffers of both sockets hold.
 const LARGE: usize = 16 << 20;
 
-/// A server that does not read, with a large command on its way to it as attempt 7.
-async fn large_one_out(
+/// A server that does not read, with a large command being written to it as attempt 7.
+async fn large_command_in_flight(
     multiplex: usize,
 ) -> (Servers<Tokio>, tokio::net::TcpStream, mpsc::Receiver<NodeInput>) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -285,52 +291,55 @@
     (servers, stream, inputs)
 }
 
-/// A server that does not read: a command given up half written must not arrive whole beside the next attempt, and
-/// without its last byte it has not run.
+/// A server that does not read. A command that was given up while partly written must not arrive completely
+/// along with the next attempt; without its last byte, it has not run.
 #[test]
-fn what_is_given_up_half_written_never_arrives_whole() {
+fn a_command_given_up_while_partly_written_never_arrives_completely() {
     use tokio::io::AsyncReadExt;
     for give_up in [true, false] {
-        local(async {
-            let (mut servers, mut stream, _inputs) = large_one_out(1).await;
-            settle().await;
+        run_local(async {
+            let (mut servers, mut stream, _inputs) = large_command_in_flight(1).await;
+            let_others_run().await;
             if give_up {
-                assert!(!servers.give_up(1, 7), "half a command has not run");
+                assert!(!servers.give_up(1, 7), "a partly written command counted as run");
             } else {
-                assert!(servers.withdraw(1, 7), "half a command can be taken back");
+                assert!(servers.withdraw(1, 7), "a partly written command could not be withdrawn");
             }
-            let mut whole = Vec::new();
-            let end = tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut whole)).await;
-            assert!(end.is_ok(), "its connection stays open");
-            assert!(whole.len() < LARGE, "it came whole");
+            let mut received = Vec::new();
+            let end = tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut received)).await;
+            assert!(end.is_ok(), "the connection stayed open");
+            assert!(received.len() < LARGE, "the command arrived completely");
         });
     }
 }
 
-/// A server that does not read, and commands behind one that is half written: the half written one is given up first,
-/// the others after it. With the last of them nobody waits on the connection any more: it ends, or the half would
-/// arrive whole once the server reads.
+/// A server that does not read, and commands behind one that is partly written. The partly written one is
+/// given up first, the others after it. When the last of them is given up, the connection must close, or the
+/// partly written command would arrive completely once the server reads.
 #[test]
-fn a_connection_ends_with_the_last_that_was_waited_for_behind_something_half_written() {
+fn a_connection_closes_with_the_last_attempt_behind_a_partly_written_command() {
     use tokio::io::AsyncReadExt;
     for give_up in [true, false] {
-        local(async {
-            let (mut servers, mut stream, _inputs) = large_one_out(32).await;
+        run_local(async {
+            let (mut servers, mut stream, _inputs) = large_command_in_flight(32).await;
             let pool = servers.pools.get_mut(&1).unwrap();
             assert!(pool.append(get(8), 32, Instant::now()));
-            settle().await;
-            assert!(servers.pools[&1].connections[0].shared.line.borrow().writing.is_some());
+            let_others_run().await;
+            assert!(servers.pools[&1].connections[0].shared.pipeline.borrow().writing.is_some());
             if give_up {
-                assert!(servers.give_up(1, 7), "half a command that another one waits behind may run");
-                assert!(!servers.give_up(1, 8), "it was never sent");
+                assert!(
+                    servers.give_up(1, 7),
+                    "counted as not run, though it may still be written completely"
+                );
+                assert!(!servers.give_up(1, 8), "an unsent attempt counted as run");
             } else {
-                assert!(!servers.withdraw(1, 7), "another one waits behind it");
-                assert!(servers.withdraw(1, 8), "it was never sent");
+                assert!(!servers.withdraw(1, 7), "withdrawn, though another attempt waits behind it");
+                assert!(servers.withdraw(1, 8), "an unsent attempt could not be withdrawn");
             }
-            let mut whole = Vec::new();
-            let end = tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut whole)).await;
-            assert!(end.is_ok(), "its connection stays open, give_up: {give_up}");
-            assert!(whole.len() < LARGE, "it came whole, give_up: {give_up}");
+            let mut received = Vec::new();
+            let end = tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut received)).await;
+            assert!(end.is_ok(), "the connection stayed open, give_up: {give_up}");
+            assert!(received.len() < LARGE, "the command arrived completely, give_up: {give_up}");
         });
     }
 }
@@ -350,9 +359,9 @@
     }
 }
 
-/// A server that gets another number keeps its connection and what is out on it.
+/// A server whose number changes keeps its connection and the attempts on it.
 #[test]
-fn a_server_with_another_number_keeps_its_connection_and_its_attempts() {
+fn a_renumbered_server_keeps_its_connection_and_its_attempts() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -363,7 +372,7 @@
         servers.listed(1, Some(address), true);
         assert!(servers.send(1, get(7)));
         let (mut stream, _) = listener.accept().await.unwrap();
-        // The word that it is up is on its way under the old number.
+        // The event that the connection is established is in the queue under the old number.
         let Some(NodeInput::Server { server, number, event }) = inputs.recv().await else { panic!() };
         assert_eq!(server, 1);
         servers.renamed(1, 2);
@@ -378,16 +387,17 @@
         assert_eq!(server, 2);
         let ended = servers.event(server, number, event);
         assert!(matches!(&ended[..], [(7, Ended::Answered(_))]));
-        // An attempt that knows it by its old number can be given up, and is written on the same connection.
+        // An attempt that refers to the old number can be given up; it is written on the same connection.
         assert!(servers.send(2, get(8)));
         assert!(stream.read(&mut read).await.unwrap() > 0);
-        assert!(servers.give_up(1, 8), "it may have run");
+        assert!(servers.give_up(1, 8), "a sent attempt counted as not run");
         assert_eq!(servers.address(1), Some(address));
     });
 }
 
+/// A command that still waits for its connection when its server starts to drain is never written.
 #[test]
-fn what_waits_for_a_connection_is_not_sent_after_the_notice_of_a_drain() {
+fn a_command_waiting_for_a_connection_is_not_sent_after_a_drain_notice() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -402,9 +412,9 @@
         assert!(servers.listed(7, Some(address), true).is_empty());
         assert!(servers.send(7, ping(1)));
         assert!(matches!(inputs.recv().await, Some(NodeInput::Server { event: Event::Up, .. })));
-        // Up, but the node has not been told yet: the attempt still waits.
+        // Established, but the event is still in the queue: the attempt still waits.
         assert_eq!(servers.listed(7, Some(address), false), [1]);
-        assert!(!servers.send(7, ping(2)), "taken for a server that drains");
+        assert!(!servers.send(7, ping(2)), "sent to a draining server");
         assert!(servers.event(7, 1, Event::Up).is_empty());
     });
     let mut written = Vec::new();
