--- a/crates/mothpier/src/start_times.rs
+++ b/crates/mothpier/src/start_times.rs
@@ -1,17 +1,18 @@
-//! When the processes of cache servers started, on the node's own clock: what slow start goes by.
+//! When the processes of cache servers started, on the node's own clock; slow start is based on it.
 //!
-//! Lists state a start as Unix time. A wall clock may be wrong or stepped, at this machine or at that of the server, so a
-//! stated time is a name for a start rather than a place on this node's clock:
+//! Server lists state a start as Unix time. The wall clock of this machine or of the server may be wrong or
+//! stepped, so a stated time identifies a start rather than giving its time on this node's clock:
 //!
-//! - Where a server that the node knows states another start than before, it has just restarted: that begins at this
-//!   moment, and ages by the monotonic clock.
-//! - Of the start of a server that is new to the node only a least age is known: the time from it to the newest start that
-//!   was stated, with what has passed since by the monotonic clock, and no more than the wall clock says. The server is
-//!   cold for a bounded time, never for hours.
-//! - What started so long ago that no step explains it is warm. Where the careful reading would take many servers for cold
-//!   that are warm by the wall clock, the wall clock is believed: a large part of a fleet can't be spared at once.
+//! - If a server that the node knows states another start than before, it has just restarted: the start is
+//!   now, and its age is measured with the monotonic clock.
+//! - For a server that is new to the node, only a lower bound of the age is known: the time from its start to
+//!   the newest start that was stated, plus what has passed since by the monotonic clock, but no more than
+//!   the age by the wall clock. So the server counts as cold for a bounded time, never for hours.
+//! - A start so long ago that no clock step explains it counts as warm. If the lower bound would make many
+//!   servers cold that are warm by the wall clock, the wall clock is trusted, since a large part of a fleet
+//!   cannot be spared at once.
 //!
-//! Pure: the clock is handed in.
+//! No I/O: the caller passes the time.
 
 use std::collections::BTreeMap;
 
@@ -19,131 +20,149 @@
 
 use crate::{Mutation, mutation_active};
 
-/// A wall clock is stepped by no more than this.
-const LARGEST_STEP: Micros = 2 * 3_600_000_000;
-/// The part of the ready servers that may be taken for cold against the wall clock.
-const MOST_COLD: f64 = 0.3;
-/// Starts that are remembered of a server: a late list may name an earlier one again.
-const REMEMBERED: usize = 4;
+/// Maximum step of a wall clock that is assumed, in microseconds.
+const MAX_CLOCK_STEP: Micros = 2 * 3_600_000_000;
+/// Maximum fraction of the ready servers that may count as cold against the wall clock.
+const MAX_COLD_FRACTION: f64 = 0.3;
+/// Number of starts remembered for each server: a late list may state an earlier one again.
+const MAX_STARTS_PER_SERVER: usize = 4;
 
 /// A start of a server's process.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    /// As it was stated, in microseconds since the Unix epoch.
+    /// The stated time, in microseconds since the Unix epoch.
     stated: Micros,
-    /// On the node's clock.
-    began: Micros,
+    /// The time on the node's clock.
+    node_time: Micros,
 }
 
-/// The starts of all cache servers that are known.
+/// The starts of all known cache servers.
 #[derive(Debug, Default)]
 pub struct StartTimes {
-    known: BTreeMap<ServerId, Vec<Start>>,
-    /// In how long a server that started is warm.
+    starts_by_server: BTreeMap<ServerId, Vec<Start>>,
+    /// How long after its start a server is warm.
     warm_up: Micros,
-    /// A whole list of discovery has been taken: what a known server states differently is news.
-    listed: bool,
-    /// The latest time that is sure to have come: a start that was stated, and when it was first stated to this node.
+    /// A complete list from discovery has been applied, so a new start of a known server means a restart.
+    complete_list_seen: bool,
+    /// The newest plausible start, with the time at which it was first stated to this node. It gives a lower
+    /// bound of the current time.
     reference: Option<Start>,
 }
 
 impl StartTimes {
-    /// None yet, where a server is warm after a time.
+    /// Creates an empty set, for servers that are warm `warm_up` after their start.
     pub fn new(warm_up: Micros) -> Self {
         StartTimes { warm_up, ..StartTimes::default() }
     }
 
-    /// From now on what is told anew has just happened.
+    /// Records that a complete list was applied: starts stated from now on have just happened.
     pub fn listed(&mut self) {
-        self.listed = true;
+        self.complete_list_seen = true;
     }
 
-    /// Forgets servers that have left.
-    pub fn forget(&mut self, left: impl Fn(ServerId) -> bool) {
-        self.known.retain(|server, _| !left(*server));
+    /// Removes servers that have left.
+    pub fn forget(&mut self, has_left: impl Fn(ServerId) -> bool) {
+        self.starts_by_server.retain(|server, _| !has_left(*server));
     }
 
-    /// Replaces the stated starts of a list's lines by those on the node's clock.
-    pub fn place<'a>(&mut self, now: Micros, lines: impl IntoIterator<Item = &'a mut ServerEntry>) {
+    /// Replaces the stated starts of list entries by those on the node's clock.
+    pub fn place<'a>(&mut self, now: Micros, server_entries: impl IntoIterator<Item = &'a mut ServerEntry>) {
         if mutation_active(Mutation::StartByWall) {
             return;
         }
-        let mut lines: Vec<&mut ServerEntry> = lines.into_iter().collect();
-        let stated = lines.iter().map(|line| line.started).max().unwrap_or_default();
-        let newest = stated.max(self.surely_come(now));
-        let wall_is_believed = !self.listed && self.careful_takes_many_for_cold(now, newest, &lines);
-        for line in &mut lines {
-            if line.started == 0 {
-                // Up for long: known all the same, and what it states one day is a restart.
-                self.known.entry(line.id).or_default();
+        let mut server_entries: Vec<&mut ServerEntry> = server_entries.into_iter().collect();
+        let stated = server_entries.iter().map(|server_entry| server_entry.started).max().unwrap_or_default();
+        let newest = stated.max(self.current_time_bound(now));
+        let trust_wall_clock =
+            !self.complete_list_seen && self.bound_makes_many_cold(now, newest, &server_entries);
+        for server_entry in &mut server_entries {
+            if server_entry.started == 0 {
+                // It has been up for long. It is recorded as known, so that a start stated later counts as a
+                // restart.
+                self.starts_by_server.entry(server_entry.id).or_default();
                 continue;
             }
-            let stated = line.started;
-            line.started = self.began(now, line.id, stated, newest, wall_is_believed);
+            let stated = server_entry.started;
+            server_entry.started =
+                self.node_start_time(now, server_entry.id, stated, newest, trust_wall_clock);
         }
-        // A clock that was stepped ahead must not make all other starts old: no later than this machine's clock.
-        if stated > self.surely_come(now) && stated <= now {
-            self.reference = Some(Start { stated, began: now });
+        // A clock that was stepped ahead must not make all other starts old, so the reference is never later
+        // than this machine's clock.
+        if stated > self.current_time_bound(now) && stated <= now {
+            self.reference = Some(Start { stated, node_time: now });
         }
     }
 
-    /// The latest time, in microseconds since the Unix epoch, that is sure to have come by the starts that were stated.
-    fn surely_come(&self, now: Micros) -> Micros {
-        self.reference.map_or(0, |start| start.stated + now.saturating_sub(start.began))
+    /// Returns a lower bound of the current time, in microseconds since the Unix epoch, from the starts
+    /// stated so far.
+    fn current_time_bound(&self, now: Micros) -> Micros {
+        self.reference.map_or(0, |start| start.stated + now.saturating_sub(start.node_time))
     }
 
-    /// When a stated start was, on the node's clock.
-    fn began(&mut self, now: Micros, server: ServerId, stated: Micros, newest: Micros, wall: bool) -> Micros {
-        let listed = self.listed;
-        let restarted = listed && self.known.contains_key(&server);
+    /// Converts a stated start to the node's clock.
+    fn node_start_time(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        stated: Micros,
+        newest: Micros,
+        trust_wall_clock: bool,
+    ) -> Micros {
+        let after_complete_list = self.complete_list_seen;
+        let restarted = after_complete_list && self.starts_by_server.contains_key(&server);
         let age = if restarted {
             self.restarted_age(now, stated)
         } else {
-            self.least_age(now, stated, newest, wall)
+            self.least_age(now, stated, newest, trust_wall_clock)
         };
-        let starts = self.known.entry(server).or_default();
-        let begun = now.saturating_sub(age).max(1);
+        let starts = self.starts_by_server.entry(server).or_default();
+        let start_time = now.saturating_sub(age).max(1);
         if let Some(start) = starts.iter_mut().find(|start| start.stated == stated) {
-            // Before the first whole list each further one can only show that it is older.
-            if !listed {
-                start.began = start.began.min(begun);
+            // Before the first complete list, repeated statements can only show that the start is older.
+            if !after_complete_list {
+                start.node_time = start.node_time.min(start_time);
             }
-            return start.began;
+            return start.node_time;
         }
-        if starts.len() == REMEMBERED {
+        if starts.len() == MAX_STARTS_PER_SERVER {
             starts.remove(0);
         }
-        starts.push(Start { stated, began: begun });
-        begun
+        starts.push(Start { stated, node_time: start_time });
+        start_time
     }
 
-    /// How old the start of a known server is that states another one than before.
+    /// Returns the age of a known server's start that differs from the one stated before.
     fn restarted_age(&self, now: Micros, stated: Micros) -> Micros {
-        now.checked_sub(stated).filter(|age| *age > LARGEST_STEP + self.warm_up).unwrap_or(0)
+        now.checked_sub(stated).filter(|age| *age > MAX_CLOCK_STEP + self.warm_up).unwrap_or(0)
     }
 
-    /// How old a start is at the least, as of when it is first stated.
-    fn least_age(&self, now: Micros, stated: Micros, newest: Micros, wall_is_believed: bool) -> Micros {
-        let by_wall = now.checked_sub(stated);
-        match by_wall {
-            Some(age) if age > LARGEST_STEP + self.warm_up => age,
-            Some(age) if wall_is_believed => age,
+    /// Returns a lower bound of the age of a start when it is first stated.
+    fn least_age(&self, now: Micros, stated: Micros, newest: Micros, trust_wall_clock: bool) -> Micros {
+        let wall_age = now.checked_sub(stated);
+        match wall_age {
+            Some(age) if age > MAX_CLOCK_STEP + self.warm_up => age,
+            Some(age) if trust_wall_clock => age,
             Some(age) => age.min(newest.saturating_sub(stated)),
-            // It lies ahead: the wall clock is behind, and says nothing.
+            // It lies in the future: the wall clock is behind and gives no information.
             None => newest.saturating_sub(stated),
         }
     }
 
-    /// Whether many servers are warm by the wall clock, but cold by the careful reading.
-    fn careful_takes_many_for_cold(&self, now: Micros, newest: Micros, lines: &[&mut ServerEntry]) -> bool {
-        let differs = |line: &&&mut ServerEntry| {
-            let careful = self.least_age(now, line.started, newest, false);
-            let by_wall = now.saturating_sub(line.started);
-            line.started > 0 && careful < self.warm_up && by_wall >= self.warm_up
+    /// Returns whether many servers are warm by the wall clock, but cold by the lower bound of their age.
+    fn bound_makes_many_cold(
+        &self,
+        now: Micros,
+        newest: Micros,
+        server_entries: &[&mut ServerEntry],
+    ) -> bool {
+        let differs = |server_entry: &&&mut ServerEntry| {
+            let age_bound = self.least_age(now, server_entry.started, newest, false);
+            let wall_age = now.saturating_sub(server_entry.started);
+            server_entry.started > 0 && age_bound < self.warm_up && wall_age >= self.warm_up
         };
-        let ready = lines.iter().filter(|line| line.condition == Condition::Ready);
+        let ready = server_entries.iter().filter(|server_entry| server_entry.condition == Condition::Ready);
         let cold = ready.clone().filter(differs).count();
-        cold as f64 > MOST_COLD * ready.count() as f64
+        cold as f64 > MAX_COLD_FRACTION * ready.count() as f64
     }
 }
 
--- a/crates/mothpier/src/start_times/tests.rs
+++ b/crates/mothpier/src/start_times/tests.rs
@@ -2,36 +2,36 @@
 
 const SECOND: Micros = 1_000_000;
 const HOUR: Micros = 3_600 * SECOND;
-/// The right time.
+/// The correct time.
 const NOW: Micros = 1_000_000 * HOUR;
 const WARM_UP: Micros = 20 * SECOND;
 
-/// Ages of servers that started so long ago by the right time, at a node whose clock is off by a step.
+/// Returns the ages of servers with the given starts, at a node whose clock shows `clock`.
 fn ages(starts: &mut StartTimes, clock: Micros, started: &[Micros]) -> Vec<Micros> {
-    let line = |(id, started): (usize, &Micros)| ServerEntry {
+    let entry = |(id, started): (usize, &Micros)| ServerEntry {
         id: id as ServerId,
         started: *started,
         ..ServerEntry::default()
     };
-    let mut lines: Vec<ServerEntry> = started.iter().enumerate().map(line).collect();
-    starts.place(clock, &mut lines);
-    lines.iter().map(|line| if line.started == 0 { Micros::MAX } else { clock - line.started }).collect()
+    let mut entries: Vec<ServerEntry> = started.iter().enumerate().map(entry).collect();
+    starts.place(clock, &mut entries);
+    entries.iter().map(|entry| if entry.started == 0 { Micros::MAX } else { clock - entry.started }).collect()
 }
 
 #[test]
-fn a_start_before_the_first_list_is_as_young_as_the_newest_whatever_the_wall_says() {
+fn ages_before_the_first_complete_list_are_relative_to_the_newest_start() {
     for clock in [NOW, NOW + 30 * SECOND, NOW + HOUR, NOW - 30 * SECOND, NOW - HOUR] {
         let mut starts = StartTimes::new(WARM_UP);
         let listed = [0, 0, 0, NOW - 60 * SECOND, NOW];
         let ages = ages(&mut starts, clock, &listed);
-        assert_eq!(ages[0], Micros::MAX, "long ago");
+        assert_eq!(ages[0], Micros::MAX, "no stated start");
         assert!((WARM_UP..=60 * SECOND).contains(&ages[3]), "{} at {clock}", ages[3]);
         assert_eq!(ages[4], 0, "at {clock}");
     }
 }
 
 #[test]
-fn a_start_that_is_told_ages_from_then_on_however_its_clock_was_stepped() {
+fn a_newly_stated_start_ages_from_then_on_however_its_clock_was_stepped() {
     for stated in [NOW + SECOND, NOW + HOUR, NOW - HOUR] {
         let mut starts = StartTimes::new(WARM_UP);
         ages(&mut starts, NOW, &[0, NOW - 2 * SECOND]);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_late_list_that_names_an_earlier_start_again_makes_nothing_cold() {
+fn a_late_list_with_an_earlier_start_makes_no_server_cold() {
     let mut starts = StartTimes::new(WARM_UP);
     ages(&mut starts, NOW, &[NOW - 300 * SECOND, NOW - 60 * SECOND]);
     starts.listed();
@@ -54,29 +54,29 @@
 }
 
 #[test]
-fn what_started_before_any_step_is_warm() {
+fn a_start_older_than_any_clock_step_is_warm() {
     let mut starts = StartTimes::new(WARM_UP);
     starts.listed();
     assert!(ages(&mut starts, NOW, &[NOW - 3 * HOUR])[0] > 2 * HOUR);
 }
 
 #[test]
-fn a_fleet_that_started_together_is_not_cold_at_once_for_a_new_node() {
+fn a_fleet_that_started_together_is_not_cold_for_a_new_node() {
     let mut starts = StartTimes::new(WARM_UP);
     let together: Vec<Micros> = (0..5).map(|n| NOW - 600 * SECOND - n * SECOND).collect();
     assert!(ages(&mut starts, NOW, &together).iter().all(|age| *age >= 600 * SECOND));
 }
 
 #[test]
-fn what_has_left_is_forgotten() {
+fn servers_that_have_left_are_removed() {
     let mut starts = StartTimes::new(WARM_UP);
     ages(&mut starts, NOW, &[NOW, NOW]);
     starts.forget(|id| id == 0);
-    assert_eq!(starts.known.len(), 1);
+    assert_eq!(starts.starts_by_server.len(), 1);
 }
 
 #[test]
-fn a_server_that_was_forgotten_and_is_named_again_is_as_old_as_before() {
+fn a_server_that_was_removed_and_is_listed_again_keeps_its_age() {
     let mut starts = StartTimes::new(WARM_UP);
     let listed = [NOW - 600 * SECOND, NOW - 300 * SECOND, NOW - 60 * SECOND];
     ages(&mut starts, NOW, &listed);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_first_restart_of_a_server_that_was_up_for_long_is_news_whatever_its_clock_says() {
+fn the_first_restart_of_a_long_running_server_is_recognised_whatever_its_clock_says() {
     for stated in [NOW + 2 * SECOND, NOW - 30 * SECOND, NOW - HOUR, NOW + HOUR] {
         let mut starts = StartTimes::new(WARM_UP);
         ages(&mut starts, NOW, &[0, 0]);
--- a/crates/mothpier/src/time_budget.rs
+++ b/crates/mothpier/src/time_budget.rs
@@ -1,5 +1,6 @@
-//! How long an attempt may take, and what its server is told of that: reckoned when the first byte is written, since an
-//! attempt may have waited for its turn or for a connection until then. No I/O.
+//! The time left for an attempt, and the value of it that is sent to the server. It is computed when the
+//! first byte is written, since the attempt may have waited in a queue or for a connection until then. No
+//! I/O.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -9,12 +10,11 @@
 use crate::messages::Command;
 use crate::{Mutation, mutation_active};
 
-/// A client's command, and when its result is of no use to this attempt any more.
+/// A client's command with the deadline of the attempt.
 #[derive(Clone)]
 pub struct TimeBudget {
-    /// The command.
     pub command: Rc<Command>,
-    /// The end of this attempt.
+    /// When the attempt ends.
     pub deadline: Instant,
 }
 
@@ -23,25 +23,25 @@
 pub struct DeadlinePassed;
 
 impl TimeBudget {
-    /// The command's names and values, with `d` set to what is left as of now.
+    /// Returns the command's extras, with `d` set to the time left.
     pub fn extras(&self, now: Instant) -> Result<String, DeadlinePassed> {
-        let left = self.left(now);
-        if left.is_zero() {
+        let remaining = self.remaining(now);
+        if remaining.is_zero() {
             return Err(DeadlinePassed);
         }
         if mutation_active(Mutation::StaleTimeLeft) {
             return Ok(String::from_utf8_lossy(&self.command.extras).into_owned());
         }
-        Ok(self.command.extras_with_wait(left))
+        Ok(self.command.extras_with_wait(remaining))
     }
 
-    /// The command as a cache server gets it. One whose deadline has passed tells the least there is: it is given up in
-    /// this very moment.
+    /// Returns the command as it is sent to a cache server. If the deadline has passed, it states the
+    /// smallest possible time; the attempt is being given up at that moment.
     pub fn for_server(&self, now: Instant) -> Bytes {
-        self.command.for_server(self.left(now))
+        self.command.for_server(self.remaining(now))
     }
 
-    fn left(&self, now: Instant) -> Duration {
+    fn remaining(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 }
--- a/crates/mothpier/src/write_gate.rs
+++ b/crates/mothpier/src/write_gate.rs
@@ -1,5 +1,5 @@
-//! A stream that asks before the first byte of a request is written: what is handed to an HTTP client is written by another
-//! task, and by then the request may be over.
+//! A stream that runs a check before the first byte of a request is written. A request that is handed to an
+//! HTTP client is written by another task, and it may have been cancelled by then.
 
 use std::cell::RefCell;
 use std::io::{self, ErrorKind, IoSlice};
@@ -9,29 +9,29 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What is asked before the next write.
+/// What is checked before the next write.
 #[derive(Default)]
 enum State {
-    /// Nothing: a request is under way, or none.
+    /// Nothing: a request is being written, or there is none.
     #[default]
     Open,
-    /// Whether it may be written.
-    Asks(Box<dyn Fn() -> bool>),
-    /// It was not to be written: the connection ends.
+    /// Whether the next request may be written.
+    Check(Box<dyn Fn() -> bool>),
+    /// The request must not be written; the connection ends.
     Refused,
 }
 
-/// The gate of one connection.
+/// The write gate of one connection.
 #[derive(Clone, Default)]
 pub struct WriteGate(Rc<RefCell<State>>);
 
 impl WriteGate {
-    /// Before the first byte of the next request is written it is asked whether it may be.
-    pub fn ask(&self, may_be_written: impl Fn() -> bool + 'static) {
-        *self.0.borrow_mut() = State::Asks(Box::new(may_be_written));
+    /// Sets the check to run before the first byte of the next request is written.
+    pub fn check_before_write(&self, may_write: impl Fn() -> bool + 'static) {
+        *self.0.borrow_mut() = State::Check(Box::new(may_write));
     }
 
-    /// Whether the last request was kept from being written.
+    /// Returns whether the last request was kept from being written.
     pub fn has_refused(&self) -> bool {
         matches!(*self.0.borrow(), State::Refused)
     }
@@ -40,7 +40,7 @@
         let mut state = self.0.borrow_mut();
         let refused = match &*state {
             State::Open => false,
-            State::Asks(may_be_written) => !may_be_written(),
+            State::Check(may_write) => !may_write(),
             State::Refused => true,
         };
         if !refused {
@@ -50,19 +50,17 @@
         Err(ErrorKind::ConnectionAborted.into())
     }
 
-    /// Takes note of how a write went: once the socket has taken a byte nothing is asked any more.
-    fn wrote(&self, written: &Poll<io::Result<usize>>) {
+    /// Opens the gate once the socket has accepted a byte of the request.
+    fn record_write(&self, written: &Poll<io::Result<usize>>) {
         if matches!(written, Poll::Ready(Ok(1..))) {
             *self.0.borrow_mut() = State::Open;
         }
     }
 }
 
-/// A stream behind a gate.
+/// A stream whose writes pass a gate.
 pub struct GatedStream<S> {
-    /// The stream.
     pub stream: S,
-    /// Its gate.
     pub gate: WriteGate,
 }
 
@@ -77,7 +75,7 @@
         let this = self.get_mut();
         this.gate.check()?;
         let written = Pin::new(&mut this.stream).poll_write(cx, from);
-        this.gate.wrote(&written);
+        this.gate.record_write(&written);
         written
     }
 
@@ -89,7 +87,7 @@
         let this = self.get_mut();
         this.gate.check()?;
         let written = Pin::new(&mut this.stream).poll_write_vectored(cx, from);
-        this.gate.wrote(&written);
+        this.gate.record_write(&written);
         written
     }
 
