--- a/crates/mothpier/src/binding.rs
+++ b/crates/mothpier/src/binding.rs
@@ -1,127 +1,134 @@
-//! Who may ask a sidecar for what, and over how many nodes a request may go. No I/O: extras come in, extras go out.
+//! Checks the tenant and class of requests to a sidecar, and the number of nodes that a request passes. No
+//! I/O: maps the extras of an incoming request to those of the outgoing one.
 
 use std::fmt;
 
-/// Nodes that a request may pass: a sidecar and the tier behind it.
-pub const MOST_HOPS: u32 = 2;
-/// The name in extras under which nodes tell each other how many were passed.
-const HOP: &str = "hop";
+/// The most nodes that a request may pass: a sidecar and a node of the tier behind it.
+pub const MAX_HOPS: u32 = 2;
+/// The name of the extra that counts the nodes which a request has passed.
+const HOP_EXTRA: &str = "hop";
 
-/// One application's class.
+/// A class that the application may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// It is sent with `CACHE.SET`.
+    /// Whether its requests use `CACHE.SET` instead of `CACHE.GET`.
     pub write: bool,
-    /// Requests that name no class are of it.
+    /// Whether requests without a class belong to it.
     pub default: bool,
 }
 
-/// What binds a sidecar to its application.
+/// The application of a sidecar, with the tenant and classes that it may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Binding {
-    /// The application.
+    /// The name of the application.
     pub app: String,
-    /// The one tenant that it asks for.
+    /// The only tenant that the application may use.
     pub tenant: String,
-    /// The classes that it may use.
+    /// The classes that the application may use.
     pub classes: Vec<Class>,
-    /// Requests are handed on to the tier, which is told so.
+    /// Whether requests are forwarded to the tier, with the hop count added.
     pub tier: bool,
 }
 
-/// Why a request is not taken.
+/// Why a request is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Denied {
-    /// It is in another's name.
+pub enum BindError {
+    /// It names another tenant.
     Tenant {
-        /// The tenant that it named.
+        /// The tenant that the request names.
         asked: String,
-        /// The sidecar's.
+        /// The sidecar's tenant.
         own: String,
     },
-    /// It is of a class that the application does not use.
+    /// It names a class that the application does not use.
     Class(String),
-    /// It is of a class that goes with the other command.
+    /// Its class belongs to the other command.
     Command(String),
-    /// It names no class, and there is none for such requests.
+    /// It names no class, and the command has no default class.
     NoClass,
     /// It has passed too many nodes.
     Hops,
 }
 
-impl fmt::Display for Denied {
+impl fmt::Display for BindError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Denied::Tenant { asked, own } => {
+            BindError::Tenant { asked, own } => {
                 write!(f, "NOPERM this sidecar asks for tenant {own:?} alone, not for {asked:?}: leave t out")
             }
-            Denied::Class(class) => write!(f, "NOPERM class {class:?} is none of this application's"),
-            Denied::Command(class) => {
+            BindError::Class(class) => write!(f, "NOPERM class {class:?} is none of this application's"),
+            BindError::Command(class) => {
                 write!(f, "NOPERM class {class:?} goes with the other of CACHE.GET and CACHE.SET")
             }
-            Denied::NoClass => f.write_str("ERR no class: say c=NAME, none is the default of this command"),
-            Denied::Hops => {
+            BindError::NoClass => {
+                f.write_str("ERR no class: say c=NAME, none is the default of this command")
+            }
+            BindError::Hops => {
                 f.write_str("ERR the request has passed too many nodes: two of them name each other")
             }
         }
     }
 }
 
-/// Names and values of extras, each name once, as the protocol has them.
-type Names<'a> = Vec<(&'a str, &'a str)>;
+/// The names and values of a request's extras; each name occurs once.
+type Extras<'a> = Vec<(&'a str, &'a str)>;
 
-/// The extras of a request as they go on: hops counted, and where the node is a sidecar, its tenant and class put in.
-/// `None` where they go on as they came.
+/// Returns the extras with which a request is forwarded: the hop count is updated, and a sidecar adds a
+/// missing tenant and class. Returns `None` if the extras are forwarded unchanged.
 ///
 /// # Errors
 ///
-/// Why the request is not taken.
-pub fn bind(binding: Option<&Binding>, write: bool, names: &Names<'_>) -> Result<Option<String>, Denied> {
-    let value = |name: &str| names.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
-    let hop = value(HOP);
+/// Why the request is rejected.
+pub fn bind(
+    binding: Option<&Binding>,
+    write: bool,
+    extras: &Extras<'_>,
+) -> Result<Option<String>, BindError> {
+    let value = |name: &str| extras.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
+    let hop = value(HOP_EXTRA);
     if binding.is_none() && hop.is_none() {
         return Ok(None);
     }
-    // What can't be read counts as too many: no loop may hide behind it.
-    let passed = hop.map_or(0, |h| h.parse().unwrap_or(MOST_HOPS));
-    if passed >= MOST_HOPS {
-        return Err(Denied::Hops);
+    // An unreadable count is treated as too high, since it might hide a loop of nodes.
+    let hops = hop.map_or(0, |h| h.parse().unwrap_or(MAX_HOPS));
+    if hops >= MAX_HOPS {
+        return Err(BindError::Hops);
     }
-    let mut kept: Names<'_> = names.iter().filter(|(n, _)| *n != HOP).copied().collect();
-    let next = (passed + 1).to_string();
+    let mut bound_extras: Extras<'_> = extras.iter().filter(|(n, _)| *n != HOP_EXTRA).copied().collect();
+    let next = (hops + 1).to_string();
     if let Some(binding) = binding {
         match value("t") {
             Some(tenant) if tenant != binding.tenant => {
-                return Err(Denied::Tenant { asked: shortened(tenant), own: binding.tenant.clone() });
+                return Err(BindError::Tenant { asked: truncated(tenant), own: binding.tenant.clone() });
             }
             Some(_) => {}
-            None => kept.push(("t", &binding.tenant)),
+            None => bound_extras.push(("t", &binding.tenant)),
         }
         match value("c") {
             Some(class) => match binding.classes.iter().find(|c| c.name == class) {
-                None => return Err(Denied::Class(shortened(class))),
-                Some(c) if c.write != write => return Err(Denied::Command(shortened(class))),
+                None => return Err(BindError::Class(truncated(class))),
+                Some(c) if c.write != write => return Err(BindError::Command(truncated(class))),
                 Some(_) => {}
             },
             None => {
-                let of = |c: &&Class| c.write == write;
-                let all = || binding.classes.iter().filter(of);
-                let only = if all().count() == 1 && !write { all().next() } else { None };
-                let class = all().find(|c| c.default).or(only).ok_or(Denied::NoClass)?;
-                kept.push(("c", &class.name));
+                let matches_command = |c: &&Class| c.write == write;
+                let candidates = || binding.classes.iter().filter(matches_command);
+                let only = if candidates().count() == 1 && !write { candidates().next() } else { None };
+                let class = candidates().find(|c| c.default).or(only).ok_or(BindError::NoClass)?;
+                bound_extras.push(("c", &class.name));
             }
         }
         if binding.tier {
-            kept.push((HOP, &next));
+            bound_extras.push((HOP_EXTRA, &next));
         }
     }
-    Ok(Some(kept.iter().map(|(n, v)| format!("{n}={v}")).collect::<Vec<_>>().join(",")))
+    Ok(Some(bound_extras.iter().map(|(n, v)| format!("{n}={v}")).collect::<Vec<_>>().join(",")))
 }
 
-/// What a client sent, as it stands in an error.
-fn shortened(text: &str) -> String {
+/// Shortens text from a client for use in an error.
+fn truncated(text: &str) -> String {
     text.chars().take(64).collect()
 }
 
--- a/crates/mothpier/src/config.rs
+++ b/crates/mothpier/src/config.rs
@@ -1,4 +1,4 @@
-//! What the node is told at its start: the environment and the JSON file that it names.
+//! The configuration of a node, read from the environment and the JSON files that it names.
 
 pub mod coordination;
 pub mod sidecar;
@@ -20,79 +20,85 @@
 use crate::handover_store::{DirectoryStore, HandoverStore};
 use crate::messages::ServerList;
 
-/// With fewer descriptors a node can't work.
-const LEAST_SOCKETS: usize = 32;
+/// The smallest limit on file descriptors with which a node can work.
+const MIN_SOCKETS: usize = 32;
 
-/// Everything that the node is told.
+/// The whole configuration of a node.
 pub struct Config {
-    /// What it calls itself in its log.
+    /// The node's name, used in its log.
     pub name: String,
-    /// The one place to listen at for clients.
+    /// The address or socket on which clients are accepted.
     pub listen: Listen,
-    /// Where the list of servers is; none where the servers are the nodes of a tier, which the file names.
+    /// The address of the discovery service; `None` for a sidecar whose servers are the nodes of a tier,
+    /// which the configuration file lists.
     pub discovery: Option<SocketAddr>,
-    /// Of its random numbers.
+    /// The seed of the node's random numbers.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// The most file descriptors that the process may have open.
     pub sockets: usize,
-    /// Bytes of memory that it may use.
+    /// The memory that the node may use, in bytes.
     pub memory: usize,
-    /// Where the operators' staff call; without it nobody does.
+    /// The listening address of the admin interface; `None` disables it.
     pub operator: Option<SocketAddr>,
-    /// The clients' listener, where the platform holds it and each process of the node inherits it.
+    /// The client listener, if the platform opened it and each process of the node inherits it.
     pub inherited: Option<std::net::TcpListener>,
-    /// Where the processes of one node leave what the next one needs.
+    /// Where a process of the node stores the state that the next one takes over.
     pub shelf: Option<Rc<dyn HandoverStore>>,
-    /// Where messages of other nodes arrive; without it there are none.
+    /// The address for datagrams from other nodes; `None` disables peer messages.
     pub peer_listen: Option<SocketAddr>,
-    /// The tier's nodes by their numbers.
+    /// The addresses of the tier's nodes, indexed by node number.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches every node of the tier.
+    /// An address that reaches all nodes of the tier at once.
     pub peers_all: Option<SocketAddr>,
-    /// The list of servers as it was last held.
+    /// The last server list that was known before this start.
     pub known: Option<ServerList>,
     /// The deployment's settings.
     pub site: Site,
-    /// Where clients reach each node of the tier, by their numbers: slot-aware clients are served where this is set.
+    /// The client address of each node of the tier, indexed by node number. Cluster-aware clients are served
+    /// only if this is set.
     pub cluster: Option<Vec<SocketAddr>>,
-    /// The boxes form a cluster.
+    /// How to use cache servers that form a cluster; `None` for servers without cluster mode.
     pub boxes: Option<ServerPoolConfig>,
-    /// There are more sources of boxes than the list.
+    /// Sources of cache servers beside the server list.
     pub sources: Option<sources::Sources>,
-    /// Whom it obeys in the name of leases: those that the coordinators name.
+    /// The coordinators. The node carries out the commands of the lease holders that they name.
     pub coordination: Option<coordination::Coordination>,
-    /// It is one application's sidecar.
+    /// Set if the node is the sidecar of one application.
     pub sidecar: Option<sidecar::Sidecar>,
-    /// How events of requests and connections are logged, where they are.
+    /// The format of the log of request and connection events; `None` disables it.
     pub events: Option<Form>,
-    /// What the checks of its file found that does not keep it from starting, a line each.
+    /// Warnings from the checks of the configuration, one line each. They do not prevent the start.
     pub warnings: Vec<String>,
 }
 
 impl Config {
-    /// Takes no more descriptors for its own than the machine allows the process.
+    /// Lowers `sockets` to the limit on open files that the operating system sets for the process.
     ///
     /// # Errors
     ///
-    /// One plain line, where these are too few.
-    fn within(&mut self, open_files: Option<usize>) -> Result<(), String> {
+    /// A one-line message if that limit is too low for a node to work.
+    fn apply_open_file_limit(&mut self, open_files: Option<usize>) -> Result<(), String> {
         let Some(allowed) = open_files.filter(|allowed| *allowed < self.sockets) else { return Ok(()) };
-        if allowed < LEAST_SOCKETS {
-            return Err(format!("the machine allows {allowed} descriptors: too few to work with"));
+        if allowed < MIN_SOCKETS {
+            return Err(format!(
+                "the process may open only {allowed} files; a node needs at least {MIN_SOCKETS}"
+            ));
         }
-        let told = self.sockets;
-        self.warnings.push(format!("limits.sockets: {told}, but the machine allows {allowed}: these hold"));
+        let configured = self.sockets;
+        self.warnings.push(format!(
+            "limits.sockets: {configured} exceeds the process limit on open files; using {allowed}"
+        ));
         self.sockets = allowed;
         Ok(())
     }
 }
 
-/// Where clients connect.
+/// The listener for clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Listen {
-    /// On the network.
+    /// A TCP address.
     Address(SocketAddr),
-    /// Within the machine.
+    /// A Unix domain socket.
     Unix(UnixSocketSpec),
 }
 
@@ -100,25 +106,26 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Listen::Address(address) => address.fmt(f),
-            Listen::Unix(place) => place.path.display().fmt(f),
+            Listen::Unix(spec) => spec.path.display().fmt(f),
         }
     }
 }
 
-/// How boxes that form a cluster are dealt with.
+/// How cache servers that form a cluster are used.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerPoolConfig {
-    /// Those that hold copies may be read; what they hold may be older than the owner's.
+    /// Whether replicas may be read, whose values may be older than the slot owner's.
     pub read_copies: bool,
-    /// How often they are asked for their slot map; its nodes are the settings' balancers.
+    /// How often servers are asked for their slot map. `nodes` is replaced by the number of balancers in the
+    /// settings.
     pub budget: RefreshBudget,
-    /// A box that has not answered whole within this time is not waited for.
+    /// How long to wait for a server's complete slot map.
     pub wait: Duration,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct BoxesFile {
+struct ServerPoolFile {
     dialect: String,
     #[serde(default)]
     read_copies: bool,
@@ -185,44 +192,46 @@
     }
 }
 
-/// What has the last word on the address of discovery.
+/// Which source of the discovery address takes precedence.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Precedence {
-    /// At the start: the environment.
+    /// The environment, at the start.
     Environment,
-    /// At a reload: the file, since a process can't be given a new environment.
+    /// The file, at a reload: the environment of a running process cannot be changed.
     File,
 }
 
-/// Reads the environment and the file that it names.
+/// Reads the environment and the files that it names.
 ///
 /// # Errors
 ///
-/// One plain line that names what is missing or unreadable.
+/// A one-line message that names what is missing or invalid.
 pub fn read(precedence: Precedence) -> Result<Config, String> {
     let env = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
     let path = env("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
     let text = std::fs::read(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
     let mut config = parse(&text, &env, precedence).map_err(|e| format!("{path}: {e}"))?;
-    config.within(mothpier_net::open_files())?;
+    config.apply_open_file_limit(mothpier_net::open_files())?;
     if let Some(number) = env("ROUTER_ACCEPT_FD").filter(|_| precedence == Precedence::Environment) {
         let listener = mothpier_net::inherited(&number).map_err(|e| format!("ROUTER_ACCEPT_FD: {e}"))?;
         config.inherited = Some(listener);
-        if let Some(folder) = env("TMPDIR") {
-            match DirectoryStore::open(folder.as_ref()) {
-                Ok(folder) => config.shelf = Some(Rc::new(folder)),
-                Err(e) => config.warnings.push(format!("TMPDIR: {folder}: {e}: nothing is handed over")),
+        if let Some(directory) = env("TMPDIR") {
+            match DirectoryStore::open(directory.as_ref()) {
+                Ok(directory) => config.shelf = Some(Rc::new(directory)),
+                Err(e) => config
+                    .warnings
+                    .push(format!("TMPDIR: {directory}: {e}; no state is handed over between processes")),
             }
         }
     }
     if let Some(path) = env("MOTHPIER_CLUSTER") {
         let text = std::fs::read(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
         let balancers = config.site.policy.balancers as usize;
-        config.cluster = Some(parse_cluster(&text, balancers).map_err(|e| format!("{path}: {e}"))?);
+        config.cluster = Some(parse_cluster_nodes(&text, balancers).map_err(|e| format!("{path}: {e}"))?);
     }
     if let Some(path) = env("MOTHPIER_BOXES") {
         let text = std::fs::read(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
-        config.boxes = parse_boxes(&text).map_err(|e| format!("{path}: {e}"))?;
+        config.boxes = parse_server_pool(&text).map_err(|e| format!("{path}: {e}"))?;
     }
     if let Some(path) = env("MOTHPIER_COORDINATION") {
         let text = std::fs::read(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
@@ -233,38 +242,41 @@
         let read = sources::parse(&text, &config.site).map_err(|e| format!("{path}: {e}"))?;
         if config.sources.is_some() {
             return Err(format!(
-                "{path}: the file of the node has a pool of its own; name its boxes in `fixed` here"
+                "{path}: the node's configuration has `sidecar.pool`; list its servers under `fixed` here"
             ));
         }
-        if read.dns.is_some() && config.sockets < LEAST_SOCKETS + sources::DESCRIPTORS {
-            return Err(format!("limits.sockets: {} are too few to ask DNS, too", config.sockets));
+        if read.dns.is_some() && config.sockets < MIN_SOCKETS + sources::DESCRIPTORS {
+            return Err(format!(
+                "limits.sockets: {} are too few for a node that queries DNS",
+                config.sockets
+            ));
         }
         config.sources = Some(read);
     }
     Ok(config)
 }
 
-/// Reads the file that tells what the boxes speak; `None` for plain ones.
+/// Parses the file that states which dialect the cache servers speak; returns `None` for plain servers.
 ///
 /// # Errors
 ///
-/// One plain line that names what is missing, unreadable or out of bounds.
-pub fn parse_boxes(text: &[u8]) -> Result<Option<ServerPoolConfig>, String> {
-    let file: BoxesFile = serde_json::from_slice(text).map_err(|e| format!("unreadable: {e}"))?;
+/// A one-line message that names what is missing, invalid or out of range.
+pub fn parse_server_pool(text: &[u8]) -> Result<Option<ServerPoolConfig>, String> {
+    let file: ServerPoolFile = serde_json::from_slice(text).map_err(|e| format!("unreadable: {e}"))?;
     match file.dialect.as_str() {
         "cluster" => {}
         "plain" => return Ok(None),
         other => return Err(format!("dialect: {other:?} is neither \"plain\" nor \"cluster\"")),
     }
     let RefreshFile { ask, tier_per_s, wait_ms, calm_s } = file.refresh;
-    let within = |name: &str, value: f64, least: f64, most: f64| {
-        let good = (least..=most).contains(&value);
-        if good { Ok(()) } else { Err(format!("refresh.{name}: {value} is not from {least} to {most}")) }
+    let check_range = |name: &str, value: f64, min: f64, max: f64| {
+        let in_range = (min..=max).contains(&value);
+        if in_range { Ok(()) } else { Err(format!("refresh.{name}: {value} is not between {min} and {max}")) }
     };
-    within("ask", ask as f64, 1.0, 9.0)?;
-    within("tier_per_s", tier_per_s, 0.1, 10_000.0)?;
-    within("wait_ms", wait_ms as f64, 10.0, 10_000.0)?;
-    within("calm_s", calm_s as f64, 1.0, 86_400.0)?;
+    check_range("ask", ask as f64, 1.0, 9.0)?;
+    check_range("tier_per_s", tier_per_s, 0.1, 10_000.0)?;
+    check_range("wait_ms", wait_ms as f64, 10.0, 10_000.0)?;
+    check_range("calm_s", calm_s as f64, 1.0, 86_400.0)?;
     Ok(Some(ServerPoolConfig {
         read_copies: file.read_copies,
         budget: RefreshBudget { ask, tier_per_s, calm: calm_s * 1000, nodes: 1 },
@@ -272,38 +284,38 @@
     }))
 }
 
-/// Reads the file that switches slot-aware clients on.
+/// Parses the file that enables cluster-aware clients.
 ///
 /// # Errors
 ///
-/// One plain line that names what is missing or unreadable.
-pub fn parse_cluster(text: &[u8], balancers: usize) -> Result<Vec<SocketAddr>, String> {
+/// A one-line message that names what is missing or invalid.
+pub fn parse_cluster_nodes(text: &[u8], balancers: usize) -> Result<Vec<SocketAddr>, String> {
     let file: ClusterFile = serde_json::from_slice(text).map_err(|e| format!("unreadable: {e}"))?;
     if file.nodes.len() != balancers {
-        let (named, told) = (file.nodes.len(), balancers);
+        let (listed, expected) = (file.nodes.len(), balancers);
         return Err(format!(
-            "nodes: {named} are named where the settings have {told} balancers; name each once"
+            "nodes: {listed} listed, but the settings have {expected} balancers; list each exactly once"
         ));
     }
-    let address = |a: &String| a.parse().map_err(|_| format!("nodes: {a:?} is no ADDRESS:PORT"));
+    let address = |a: &String| a.parse().map_err(|_| format!("nodes: {a:?} is not a valid ADDRESS:PORT"));
     file.nodes.iter().map(address).collect()
 }
 
-/// Reads a configuration's text with an environment.
+/// Parses the text of a configuration file, with the variables that `env` looks up.
 ///
 /// # Errors
 ///
-/// One plain line that names what is missing or unreadable.
+/// A one-line message that names what is missing or invalid.
 pub fn parse(
     text: &[u8],
     env: &dyn Fn(&str) -> Option<String>,
     precedence: Precedence,
 ) -> Result<Config, String> {
     let checked = mothpier_config::check(text, FileForm::Json, &Hosts::default());
-    let lines = |of: Severity| -> Vec<String> {
-        checked.findings.iter().filter(|f| f.severity == of).map(|f| f.line(&checked.text)).collect()
+    let finding_lines = |level: Severity| -> Vec<String> {
+        checked.findings.iter().filter(|f| f.severity == level).map(|f| f.line(&checked.text)).collect()
     };
-    let errors = lines(Severity::Error);
+    let errors = finding_lines(Severity::Error);
     if let Some(first) = errors.first() {
         let more = if errors.len() > 1 { format!(" (and {} more)", errors.len() - 1) } else { String::new() };
         return Err(format!("{first}{more}"));
@@ -315,49 +327,52 @@
     }
     let address = |name: &str, text: Option<String>| {
         let text = text.ok_or_else(|| format!("no address for {name}"))?;
-        text.parse::<SocketAddr>().map_err(|_| format!("{name}: {text:?} is no address"))
+        text.parse::<SocketAddr>().map_err(|_| format!("{name}: {text:?} is not an address"))
     };
-    let optional = |name, text: Option<String>| text.map(|t| address(name, Some(t))).transpose();
+    let optional_address = |name, text: Option<String>| text.map(|t| address(name, Some(t))).transpose();
     let seed = match &file.seed {
         serde_json::Value::String(s) => u64::from_str_radix(s, 16).unwrap_or_else(|_| xxh3_64(s.as_bytes())),
         other => other.as_u64().unwrap_or_default(),
     };
-    let told = env("ROUTER_DISCOVERY");
+    let from_env = env("ROUTER_DISCOVERY");
     let discovery = match precedence {
-        Precedence::Environment => told.or(file.discovery),
-        Precedence::File => file.discovery.or(told),
+        Precedence::Environment => from_env.or(file.discovery),
+        Precedence::File => file.discovery.or(from_env),
     };
-    if file.limits.sockets < LEAST_SOCKETS {
-        return Err(format!("limits.sockets: {} are too few to work with", file.limits.sockets));
+    if file.limits.sockets < MIN_SOCKETS {
+        return Err(format!(
+            "limits.sockets: {} are too few; a node needs at least {MIN_SOCKETS}",
+            file.limits.sockets
+        ));
     }
-    let operator = optional("operator", env("ROUTER_OPERATOR").or(file.operator))?;
-    if operator.is_some() && file.limits.sockets < LEAST_SOCKETS + admin_listener::DESCRIPTORS {
+    let operator = optional_address("operator", env("ROUTER_OPERATOR").or(file.operator))?;
+    if operator.is_some() && file.limits.sockets < MIN_SOCKETS + admin_listener::DESCRIPTORS {
         return Err(format!(
-            "limits.sockets: {} are too few beside the operators' door",
+            "limits.sockets: {} are too few for a node with an admin listener",
             file.limits.sockets
         ));
     }
     let unix = file.sidecar.as_ref().and_then(sidecar::Section::unix);
-    let sidecar = file.sidecar.map(|section| section.take(&mut site)).transpose()?;
-    let to_tier = sidecar.as_ref().is_some_and(|s| s.tier);
+    let sidecar = file.sidecar.map(|section| section.apply(&mut site)).transpose()?;
+    let uses_tier = sidecar.as_ref().is_some_and(|s| s.tier);
     let pool = sidecar.as_ref().map(|s| s.pool.as_slice()).unwrap_or_default();
-    let sources = sources::pool(pool, &site)?;
+    let sources = sources::sidecar_pool(pool, &site)?;
     Ok(Config {
         name: env("ROUTER_NAME").or(file.name).unwrap_or_else(|| "mothpier".into()),
         listen: match unix {
-            Some(place) => Listen::Unix(place),
+            Some(spec) => Listen::Unix(spec),
             None => Listen::Address(address("listen", env("ROUTER_LISTEN").or(file.listen))?),
         },
-        discovery: if to_tier { None } else { Some(address("discovery", discovery)?) },
+        discovery: if uses_tier { None } else { Some(address("discovery", discovery)?) },
         seed,
         sockets: file.limits.sockets,
         memory: (file.limits.memory_mb.clamp(16.0, 1e6) * 1048576.0) as usize,
         operator,
         inherited: None,
         shelf: None,
-        peer_listen: optional("peer_listen", file.peer_listen)?,
+        peer_listen: optional_address("peer_listen", file.peer_listen)?,
         peers: file.peers.into_iter().map(|p| address("peers", Some(p))).collect::<Result<_, _>>()?,
-        peers_all: optional("peers_all", file.peers_all)?,
+        peers_all: optional_address("peers_all", file.peers_all)?,
         known: file.known,
         site,
         cluster: None,
@@ -366,7 +381,7 @@
         coordination: None,
         sidecar,
         events: env(event_log::VARIABLE).map(|form| form.parse()).transpose()?,
-        warnings: lines(Severity::Warning),
+        warnings: finding_lines(Severity::Warning),
     })
 }
 
--- a/crates/mothpier/src/config/coordination.rs
+++ b/crates/mothpier/src/config/coordination.rs
@@ -1,4 +1,4 @@
-//! The file that tells where the coordinators are: HCL, named by `MOTHPIER_COORDINATION`.
+//! The HCL file named by `MOTHPIER_COORDINATION`, which lists the coordinators.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,43 +6,44 @@
 use hcl_edit::expr::Expression;
 use hcl_edit::structure::{Block, Body, Structure};
 
-/// How long the fleet's agreement knows a node that it does not hear of.
-const TTL: Duration = Duration::from_secs(3);
-const TTL_BOUNDS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(60));
-/// A node that starts and reaches no coordinators serves after this time, careful.
-const START_ALONE: Duration = Duration::from_secs(10);
+/// How long the coordinators keep the session of a node that they no longer hear from.
+const DEFAULT_TTL: Duration = Duration::from_secs(3);
+const MIN_TTL: Duration = Duration::from_millis(500);
+const MAX_TTL: Duration = Duration::from_secs(60);
+/// How long a starting node waits for the coordinators before it serves without them.
+const DEFAULT_START_ALONE: Duration = Duration::from_secs(10);
 
-/// Where the coordinators are.
+/// The coordinators, and the node's part in fleet-wide drains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Coordination {
     /// The fleet's name.
     pub cluster: String,
-    /// Their addresses, in the order of their numbers.
+    /// The coordinators' addresses, in the order of their numbers.
     pub coordinators: Vec<SocketAddr>,
-    /// The node takes part in the fleet's agreement on drains.
-    pub fleet: Option<Fleet>,
+    /// Set if the node takes part in fleet-wide drains.
+    pub fleet: Option<FleetConfig>,
 }
 
-/// How a node takes part in the fleet's agreement on drains.
+/// How a node takes part in fleet-wide drains.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fleet {
-    /// Its zone, for limits by zone.
+pub struct FleetConfig {
+    /// The node's zone, for the limits on drains per zone.
     pub zone: String,
-    /// Its session's time.
+    /// The time to live of the node's session.
     pub ttl: Duration,
-    /// Without coordinators it says that it is ready after this time.
+    /// How long a starting node that cannot reach the coordinators waits before it reports ready.
     pub start_alone: Duration,
 }
 
-fn fleet(block: &Block) -> Result<Fleet, String> {
-    let mut fleet = Fleet { zone: String::new(), ttl: TTL, start_alone: START_ALONE };
-    for part in &block.body {
-        let Structure::Attribute(attribute) = part else {
-            return Err("fleet: blocks have no meaning".into());
+fn parse_fleet(block: &Block) -> Result<FleetConfig, String> {
+    let mut fleet = FleetConfig { zone: String::new(), ttl: DEFAULT_TTL, start_alone: DEFAULT_START_ALONE };
+    for item in &block.body {
+        let Structure::Attribute(attribute) = item else {
+            return Err("fleet: nested blocks are not allowed".into());
         };
         let name = attribute.key.as_str();
         let Expression::String(text) = &attribute.value else {
-            return Err(format!("fleet.{name}: a text is wanted"));
+            return Err(format!("fleet.{name}: expected a string"));
         };
         let text = text.value();
         let time = || text.parse().map(|t: humantime::Duration| *t).map_err(|e| format!("fleet.{name}: {e}"));
@@ -50,57 +51,58 @@
             "zone" => fleet.zone = text.clone(),
             "ttl" => fleet.ttl = time()?,
             "start_alone" => fleet.start_alone = time()?,
-            other => return Err(format!("fleet.{other}: not known here")),
+            other => return Err(format!("fleet.{other}: unknown key")),
         }
     }
-    if !(TTL_BOUNDS.0..=TTL_BOUNDS.1).contains(&fleet.ttl) {
-        return Err("fleet.ttl: it lies between 500ms and 60s".into());
+    if !(MIN_TTL..=MAX_TTL).contains(&fleet.ttl) {
+        return Err("fleet.ttl: must be between 500ms and 60s".into());
     }
     if !(fleet.zone.is_empty() || mothpier_coordination::limits::is_name(&fleet.zone)) {
-        return Err("fleet.zone: letters, digits and -_.:@/ are wanted".into());
+        return Err("fleet.zone: may contain only letters, digits and -_.:@/".into());
     }
     Ok(fleet)
 }
 
-/// Reads the file.
+/// Parses the text of the file.
 ///
 /// # Errors
 ///
-/// One plain line that names what is missing or unreadable.
+/// A one-line message that names what is missing or invalid.
 pub fn parse(text: &[u8]) -> Result<Coordination, String> {
     let text = std::str::from_utf8(text).map_err(|e| format!("unreadable: {e}"))?;
     let body: Body = text.parse().map_err(|e| format!("unreadable: {e}"))?;
-    let (mut cluster, mut coordinators, mut of_fleet) = (None, None, None);
-    for part in &body {
-        let attribute = match part {
+    let (mut cluster, mut coordinators, mut fleet_config) = (None, None, None);
+    for item in &body {
+        let attribute = match item {
             Structure::Attribute(attribute) => attribute,
-            Structure::Block(block) if block.ident.as_str() == "fleet" && of_fleet.is_none() => {
-                of_fleet = Some(fleet(block)?);
+            Structure::Block(block) if block.ident.as_str() == "fleet" && fleet_config.is_none() => {
+                fleet_config = Some(parse_fleet(block)?);
                 continue;
             }
             Structure::Block(block) => {
-                return Err(format!("{}: no such block, or twice", block.ident.as_str()));
+                return Err(format!("{}: unknown or duplicate block", block.ident.as_str()));
             }
         };
         match (attribute.key.as_str(), &attribute.value) {
             ("cluster", Expression::String(name)) => cluster = Some(name.value().clone()),
-            ("cluster", _) => return Err("cluster: a text is wanted".into()),
+            ("cluster", _) => return Err("cluster: expected a string".into()),
             ("coordinators", Expression::Array(all)) => {
-                let one = |e: &Expression| match e {
-                    Expression::String(s) => {
-                        s.value().parse().map_err(|_| format!("coordinators: {:?} is no address", s.value()))
-                    }
-                    _ => Err("coordinators: texts are wanted, as \"10.0.0.1:7100\"".to_owned()),
+                let address = |e: &Expression| match e {
+                    Expression::String(s) => s
+                        .value()
+                        .parse()
+                        .map_err(|_| format!("coordinators: {:?} is not an address", s.value())),
+                    _ => Err("coordinators: expected strings such as \"10.0.0.1:7100\"".to_owned()),
                 };
-                coordinators = Some(all.iter().map(one).collect::<Result<Vec<SocketAddr>, _>>()?);
+                coordinators = Some(all.iter().map(address).collect::<Result<Vec<SocketAddr>, _>>()?);
             }
-            ("coordinators", _) => return Err("coordinators: a list is wanted".into()),
-            (other, _) => return Err(format!("{other}: not known here")),
+            ("coordinators", _) => return Err("coordinators: expected a list".into()),
+            (other, _) => return Err(format!("{other}: unknown key")),
         }
     }
     let cluster = cluster.ok_or("cluster: missing")?;
     let coordinators = coordinators.filter(|c| !c.is_empty()).ok_or("coordinators: missing")?;
-    Ok(Coordination { cluster, coordinators, fleet: of_fleet })
+    Ok(Coordination { cluster, coordinators, fleet: fleet_config })
 }
 
 #[cfg(test)]
--- a/crates/mothpier/src/config/sidecar.rs
+++ b/crates/mothpier/src/config/sidecar.rs
@@ -1,4 +1,4 @@
-//! What binds a node to one application: the `sidecar` section of its file.
+//! The `sidecar` section of the configuration file, which binds a node to one application.
 
 use std::path::PathBuf;
 
@@ -9,7 +9,7 @@
 
 use crate::binding::{Binding, Class};
 
-/// The section.
+/// The section as it is written in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
@@ -17,8 +17,8 @@
     tenant: String,
     #[serde(default)]
     upstream: Upstream,
-    classes: Vec<ClassLine>,
-    unix: Option<Unix>,
+    classes: Vec<ClassSection>,
+    unix: Option<UnixSection>,
     connections: Option<usize>,
     origin_outstanding: Option<f64>,
     origin_per_s: Option<f64>,
@@ -38,7 +38,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ClassLine {
+struct ClassSection {
     name: String,
     command: Command,
     #[serde(default)]
@@ -54,64 +54,68 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Unix {
+struct UnixSection {
     path: PathBuf,
     mode: u32,
     owner: Option<u32>,
     group: Option<u32>,
 }
 
-/// What the rest of the node makes of it.
+/// The parts of the section that the node uses at run time.
 #[derive(Clone)]
 pub struct Sidecar {
-    /// Who may ask for what.
+    /// The tenant and classes that the application may use.
     pub binding: Binding,
-    /// Client connections at the most.
+    /// The most client connections.
     pub connections: Option<usize>,
-    /// Requests go to nodes of the shared tier.
+    /// Whether requests go to the nodes of the shared tier instead of to cache servers.
     pub tier: bool,
-    /// Boxes that are used whatever the list says.
+    /// Cache servers that are used whether or not the server list contains them.
     pub pool: Vec<String>,
 }
 
 impl Section {
-    /// Where the application connects, if in the file system.
+    /// Returns the Unix domain socket on which the application connects, if it uses one.
     pub fn unix(&self) -> Option<UnixSocketSpec> {
-        self.unix.as_ref().map(|u| UnixSocketSpec {
-            path: u.path.clone(),
-            mode: u.mode,
-            owner: u.owner,
-            group: u.group,
+        self.unix.as_ref().map(|unix| UnixSocketSpec {
+            path: unix.path.clone(),
+            mode: unix.mode,
+            owner: unix.owner,
+            group: unix.group,
         })
     }
 
-    /// Takes over what the module is to know, and gives what the rest of the node is.
+    /// Applies the section's limits to the policy settings in `site` and returns the rest of the section.
     ///
     /// # Errors
     ///
-    /// A class or tenant that the settings do not have.
-    pub fn take(self, site: &mut Site) -> Result<Sidecar, String> {
+    /// A message that names a class or tenant which the settings lack.
+    pub fn apply(self, site: &mut Site) -> Result<Sidecar, String> {
         if !site.tenants.is_empty() && !site.tenants.contains(&self.tenant) {
-            return Err(format!("sidecar.tenant: {:?} is none of the settings' tenants", self.tenant));
+            return Err(format!("sidecar.tenant: {:?} is not a tenant of the settings", self.tenant));
         }
         let mut classes = Vec::with_capacity(self.classes.len());
-        for c in self.classes {
-            if !site.classes.contains(&c.name) {
-                return Err(format!("sidecar.classes: {:?} is none of the settings' classes", c.name));
+        for class in self.classes {
+            if !site.classes.contains(&class.name) {
+                return Err(format!("sidecar.classes: {:?} is not a class of the settings", class.name));
             }
-            classes.push(Class { name: c.name, write: c.command == Command::Write, default: c.default });
+            classes.push(Class {
+                name: class.name,
+                write: class.command == Command::Write,
+                default: class.default,
+            });
         }
         let tier = self.upstream == Upstream::Tier;
-        let decisions = &mut site.policy;
+        let settings = &mut site.policy;
         if self.origin_outstanding.is_some() || self.origin_per_s.is_some() {
-            decisions.shares = Some(Shares {
+            settings.shares = Some(Shares {
                 origin_out: self.origin_outstanding.unwrap_or(f64::from(u32::MAX)),
                 origin_per_s: self.origin_per_s.unwrap_or(f64::INFINITY),
             });
         }
-        decisions.cold_rate = self.cold_sends_at.unwrap_or(decisions.cold_rate);
-        // The tier tries again by itself: here only what never ran is.
-        decisions.retry_budget = if tier { 0.0 } else { self.retry_budget.unwrap_or(decisions.retry_budget) };
+        settings.cold_rate = self.cold_sends_at.unwrap_or(settings.cold_rate);
+        // The tier retries by itself; the sidecar repeats only requests that were never executed.
+        settings.retry_budget = if tier { 0.0 } else { self.retry_budget.unwrap_or(settings.retry_budget) };
         Ok(Sidecar {
             binding: Binding { app: self.app, tenant: self.tenant, classes, tier },
             connections: self.connections,
--- a/crates/mothpier/src/config/sources.rs
+++ b/crates/mothpier/src/config/sources.rs
@@ -1,4 +1,4 @@
-//! The file that switches further sources of boxes on: DNS, a fixed set, word of mouth.
+//! The file that enables further sources of cache servers: DNS, a fixed set, and gossip between nodes.
 
 use std::net::SocketAddr;
 
@@ -9,15 +9,16 @@
 use mothpier_names::{Lifetimes, Name, Resolver};
 use serde::Deserialize;
 
-/// Descriptors that questions to DNS take at the most: those out, and as many that are forgotten and end by themselves.
+/// The most file descriptors that DNS queries use: one for each outstanding query, and as many for abandoned
+/// queries that have not ended yet.
 pub const DESCRIPTORS: usize = 2 * mothpier_names::MAX_OUTSTANDING;
 
-/// Further sources of boxes.
+/// The sources of cache servers beside the server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sources {
-    /// How they become one view.
+    /// How the sources are merged into one view.
     pub membership: Settings,
-    /// What is asked of DNS.
+    /// The DNS resolver's settings; `None` if DNS is not queried.
     pub dns: Option<mothpier_names::Settings>,
 }
 
@@ -125,42 +126,45 @@
     }
 }
 
-fn within(name: &str, value: f64, least: f64, most: f64) -> Result<(), String> {
-    let good = (least..=most).contains(&value);
-    if good { Ok(()) } else { Err(format!("{name}: {value} is not from {least} to {most}")) }
+fn check_range(name: &str, value: f64, min: f64, max: f64) -> Result<(), String> {
+    let in_range = (min..=max).contains(&value);
+    if in_range { Ok(()) } else { Err(format!("{name}: {value} is not between {min} and {max}")) }
 }
 
-fn each<T: std::str::FromStr>(name: &str, texts: &[String], what: &str) -> Result<Vec<T>, String> {
-    let one = |t: &String| t.parse().map_err(|_| format!("{name}: {t:?} is no {what}"));
-    texts.iter().map(one).collect()
+fn parse_all<T: std::str::FromStr>(name: &str, texts: &[String], expected: &str) -> Result<Vec<T>, String> {
+    let parse_one = |t: &String| t.parse().map_err(|_| format!("{name}: {t:?} is not a valid {expected}"));
+    texts.iter().map(parse_one).collect()
 }
 
-/// Reads the file, for a deployment.
+/// Parses the text of the file for the deployment described by `site`.
 ///
 /// # Errors
 ///
-/// One plain line that names what is missing, unreadable, out of bounds, or not of this deployment.
+/// A one-line message that names what is missing, invalid, out of range, or unknown to this deployment.
 pub fn parse(text: &[u8], site: &Site) -> Result<Sources, String> {
     let file: File = serde_json::from_slice(text).map_err(|e| format!("unreadable: {e}"))?;
-    within("gone_s", file.gone_s as f64, 1.0, 86_400.0)?;
+    check_range("gone_s", file.gone_s as f64, 1.0, 86_400.0)?;
     let doubt = file.doubt;
-    within("doubt.share", doubt.share, 0.0, 1.0)?;
-    within("doubt.confirm", doubt.confirm as f64, 1.0, 100.0)?;
-    within("doubt.hold_s", doubt.hold_s as f64, 1.0, 86_400.0)?;
-    let fixed: Vec<SocketAddr> = each("fixed", &file.fixed, "ADDRESS:PORT")?;
-    let dns = file.dns.map(|dns| resolver(dns, site)).transpose()?;
+    check_range("doubt.share", doubt.share, 0.0, 1.0)?;
+    check_range("doubt.confirm", doubt.confirm as f64, 1.0, 100.0)?;
+    check_range("doubt.hold_s", doubt.hold_s as f64, 1.0, 86_400.0)?;
+    let fixed: Vec<SocketAddr> = parse_all("fixed", &file.fixed, "ADDRESS:PORT")?;
+    let dns = file.dns.map(|dns| resolver_settings(dns, site)).transpose()?;
     let like = match file.like {
-        Some(like) => taken_for(like, site)?,
+        Some(like) => server_template(like, site)?,
         None if dns.is_none() && fixed.is_empty() => ServerTemplate::default(),
         None => {
-            return Err("like: say which zone and kind a box has that only DNS or the fixed set names".into());
+            return Err(
+                "like: required with `dns` or `fixed`: the zone and kind of servers that the list lacks"
+                    .into(),
+            );
         }
     };
     let rumours = match file.rumours {
         Some(RumoursFile { trust_s, share, tells }) => {
-            within("rumours.trust_s", trust_s as f64, 1.0, 3_600.0)?;
-            within("rumours.share", share, 0.0, 0.5)?;
-            within("rumours.tells", f64::from(tells), 1.0, 10.0)?;
+            check_range("rumours.trust_s", trust_s as f64, 1.0, 3_600.0)?;
+            check_range("rumours.share", share, 0.0, 0.5)?;
+            check_range("rumours.tells", f64::from(tells), 1.0, 10.0)?;
             Some(gossip::Settings { trust_ms: trust_s * 1000, share, tells })
         }
         None => None,
@@ -177,65 +181,69 @@
     Ok(Sources { membership, dns })
 }
 
-/// The sources of a sidecar whose file names boxes that are used whatever the list says.
+/// Returns the sources of a sidecar whose `pool` names cache servers to use whether or not the list contains
+/// them; `None` if the pool is empty.
 ///
 /// # Errors
 ///
-/// A box that is no ADDRESS:PORT, or settings that name no zone or kind that it could be of.
-pub fn pool(boxes: &[String], site: &Site) -> Result<Option<Sources>, String> {
-    if boxes.is_empty() {
+/// A one-line message if a server is not an ADDRESS:PORT, or if the settings have no zone or machine type.
+pub fn sidecar_pool(servers: &[String], site: &Site) -> Result<Option<Sources>, String> {
+    if servers.is_empty() {
         return Ok(None);
     }
-    let fixed: Vec<SocketAddr> = each("sidecar.pool", boxes, "ADDRESS:PORT")?;
-    let first = |names: &[String], what: &str| {
+    let fixed: Vec<SocketAddr> = parse_all("sidecar.pool", servers, "ADDRESS:PORT")?;
+    let first_of = |names: &[String], expected: &str| {
         names
             .first()
             .cloned()
-            .ok_or_else(|| format!("sidecar.pool: the settings name no {what} for its boxes"))
+            .ok_or_else(|| format!("sidecar.pool: the settings define no {expected} for its servers"))
     };
-    let like =
-        LikeFile { zone: first(&site.zones, "zone")?, kind: first(&site.kinds, "machine type")?, cell: 0 };
-    let like = taken_for(like, site)?;
+    let like = LikeFile {
+        zone: first_of(&site.zones, "zone")?,
+        kind: first_of(&site.kinds, "machine type")?,
+        cell: 0,
+    };
+    let like = server_template(like, site)?;
     let origin = site.policy.origin_kind.and_then(|kind| site.kinds.get(usize::from(kind)).cloned());
     Ok(Some(Sources { membership: Settings { like, origin, fixed, ..Settings::default() }, dns: None }))
 }
 
-fn taken_for(like: LikeFile, site: &Site) -> Result<ServerTemplate, String> {
+fn server_template(like: LikeFile, site: &Site) -> Result<ServerTemplate, String> {
     let LikeFile { zone, kind, cell } = like;
     if !site.zones.contains(&zone) {
         return Err(format!(
-            "like.zone: {zone:?} is none of the zones of the settings ({})",
+            "like.zone: {zone:?} is not one of the zones of the settings ({})",
             site.zones.join(", ")
         ));
     }
-    let Some(place) = site.kinds.iter().position(|k| *k == kind) else {
+    let Some(index) = site.kinds.iter().position(|k| *k == kind) else {
         let kinds = site.kinds.join(", ");
-        return Err(format!("like.kind: {kind:?} is none of the machine types of the settings ({kinds})"));
+        return Err(format!("like.kind: {kind:?} is not one of the machine types of the settings ({kinds})"));
     };
-    if site.policy.origin_kind.map(usize::from) == Some(place) {
+    if site.policy.origin_kind.map(usize::from) == Some(index) {
         return Err(format!(
-            "like.kind: {kind:?} is the origin's; boxes that DNS names would be taken for it"
+            "like.kind: {kind:?} is the origin's; servers found by DNS would be treated as the origin"
         ));
     }
     Ok(ServerTemplate { locality: zone, flavor: kind, cell })
 }
 
-fn resolver(dns: DnsFile, site: &Site) -> Result<mothpier_names::Settings, String> {
-    within("dns.tier_per_s", dns.tier_per_s, 0.1, 10_000.0)?;
-    within("dns.burst", dns.burst, 1.0, 1_000.0)?;
-    within("dns.wait_ms", dns.wait_ms as f64, 10.0, 10_000.0)?;
-    within("dns.floor_s", dns.floor_s as f64, 1.0, 3_600.0)?;
-    within("dns.ceiling_s", dns.ceiling_s as f64, dns.floor_s as f64, 86_400.0)?;
-    within("dns.stale_s", dns.stale_s as f64, 0.0, 7.0 * 86_400.0)?;
+fn resolver_settings(dns: DnsFile, site: &Site) -> Result<mothpier_names::Settings, String> {
+    check_range("dns.tier_per_s", dns.tier_per_s, 0.1, 10_000.0)?;
+    check_range("dns.burst", dns.burst, 1.0, 1_000.0)?;
+    check_range("dns.wait_ms", dns.wait_ms as f64, 10.0, 10_000.0)?;
+    check_range("dns.floor_s", dns.floor_s as f64, 1.0, 3_600.0)?;
+    check_range("dns.ceiling_s", dns.ceiling_s as f64, dns.floor_s as f64, 86_400.0)?;
+    check_range("dns.stale_s", dns.stale_s as f64, 0.0, 7.0 * 86_400.0)?;
     let service = Name::from_ascii(&dns.service).map(|mut name| {
         name.set_fqdn(true);
         name
     });
-    let service = service.map_err(|e| format!("dns.service: {:?} is no name: {e}", dns.service))?;
-    let networks: Vec<IpNet> = each("dns.networks", &dns.networks, "NETWORK/BITS")?;
+    let service = service.map_err(|e| format!("dns.service: {:?} is not a domain name: {e}", dns.service))?;
+    let networks: Vec<IpNet> = parse_all("dns.networks", &dns.networks, "NETWORK/BITS")?;
     let settings = mothpier_names::Settings {
         service,
-        servers: each("dns.servers", &dns.servers, "ADDRESS:PORT")?,
+        servers: parse_all("dns.servers", &dns.servers, "ADDRESS:PORT")?,
         nodes: site.policy.balancers as usize,
         tier_per_s: dns.tier_per_s,
         burst: dns.burst,
@@ -249,7 +257,7 @@
         ipv6: dns.ipv6,
         networks,
     };
-    // What no resolver can work with is said now and not once it runs.
+    // Rejects settings that the resolver cannot use now, rather than when it starts.
     Resolver::new(settings.clone(), [0; 32], 0).map_err(|e| format!("dns: {e}"))?;
     Ok(settings)
 }
--- a/crates/mothpier/src/discovery.rs
+++ b/crates/mothpier/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The list of servers: its form, the numbers behind its names, and the watch on its changes.
+//! The server list from discovery: conversion to the policy's form, numbering of servers, and the watch for
+//! changes.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::future::poll_fn;
@@ -19,34 +20,36 @@
 use crate::messages::{DiscoveryRequest, ListUpdate, NodeInput, ServerList};
 use crate::{Mutation, mutation_active};
 
-/// How long a watch waits at the other side: short, so that a silent agent is noticed soon.
-const WAIT: Duration = Duration::from_millis(2000);
-/// An answer that is this late after the wait will not come.
-const LATE: Duration = Duration::from_millis(1500);
-/// Between calls after a failure; a watch goes on if the next call comes within 200 ms.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Calls that are out at an agent that owes an answer: a call made in its silence may never be answered, and must not
-/// stand in the way of one that would be.
+/// How long the other side may hold a watch open. Short, so that an unresponsive agent is noticed soon.
+const WATCH_WAIT: Duration = Duration::from_millis(2000);
+/// How much longer than the wait an answer may take before the call counts as failed.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(1500);
+/// The pause between calls after a failure. A watch is continued if the next call arrives within 200 ms.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// The most calls that are outstanding at an agent that does not answer: a call made while the agent is
+/// unresponsive may never be answered, and must not delay one that would be.
 pub const CALLS: usize = 6;
-/// An agent that owes an answer is asked again after this part of the time in which a drain must be done, and within
-/// these bounds.
-const AGAIN: (u32, Duration, Duration) = (4, Duration::from_millis(20), PAUSE);
-/// Calls that are out at once at a service for all, which may have lost the first of them.
-const SERVICE_CALLS: usize = 3;
-const MAX_LIST: usize = 4 << 20;
+/// How often an agent that does not answer is asked again within the time in which a drain must take effect.
+const AGENT_RETRIES_PER_GRACE: u32 = 4;
+/// The bounds of the time between calls to an agent that does not answer.
+const MIN_AGENT_RETRY: Duration = Duration::from_millis(20);
+const MAX_AGENT_RETRY: Duration = RETRY_PAUSE;
+/// The most calls that are outstanding at a central service, which may have lost the first of them.
+const MAX_SERVICE_CALLS: usize = 3;
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// The numbers by which the module knows servers. They are made from the ids alone, so that every node has
-/// the same and the order of servers is shared.
+/// The numbers by which the policy identifies servers. They are hashes of the ids, so that all nodes use the
+/// same numbers and the same order of servers.
 #[derive(Default)]
 pub struct ServerNumbers(HashMap<String, ServerId>, HashSet<ServerId>);
 
 impl ServerNumbers {
-    /// The number of an id.
+    /// Returns the number of the server with this id, and assigns one if it is new.
     pub fn of(&mut self, id: &str) -> ServerId {
         if let Some(number) = self.0.get(id) {
             return *number;
         }
-        // Two ids of one hash must not merge: the later one takes the next hash that is free.
+        // Two ids with the same hash must not be merged: the later one takes the next free hash.
         let mut seed = 0;
         let number = loop {
             let number = server_number(id, seed);
@@ -60,20 +63,20 @@
         number
     }
 
-    /// How many are kept.
+    /// The number of servers that have a number.
     pub fn len(&self) -> usize {
         self.0.len().max(self.1.len())
     }
 
-    /// Forgets the numbers of servers that have left. One that comes back gets the same again, for it is made from
-    /// the id.
+    /// Removes the numbers of servers that have left. A server that returns gets the same number, since it is
+    /// derived from the id.
     pub fn forget(&mut self, left: impl Fn(ServerId) -> bool) {
         self.0.retain(|_, number| !left(*number));
         self.1.retain(|number| !left(*number));
     }
 
-    /// Puts a list into the module's form, with the addresses beside it. Taken in the order of the ids, so
-    /// that nodes that hear the same list resolve a clash alike.
+    /// Converts a server list to the policy's form, each entry with its address. Servers are processed in the
+    /// order of their ids, so that nodes with the same list resolve hash collisions alike.
     pub fn lines(
         &mut self,
         net: &impl Net,
@@ -81,226 +84,238 @@
         site: &Site,
     ) -> Vec<(ServerEntry, Option<SocketAddr>)> {
         list.members.sort_by(|a, b| a.id.cmp(&b.id));
-        let mut lines = Vec::with_capacity(list.members.len());
-        for m in &list.members {
-            let condition = match m.phase.as_str() {
+        let mut entries = Vec::with_capacity(list.members.len());
+        for member in &list.members {
+            let condition = match member.phase.as_str() {
                 "ready" => Condition::Ready,
                 "draining" if mutation_active(Mutation::DrainingIsReady) => Condition::Ready,
                 "draining" => Condition::Draining,
                 _ => Condition::Gone,
             };
-            let address = m.host_port.parse().ok();
+            let address = member.host_port.parse().ok();
             if address.is_none() && condition == Condition::Ready {
-                net.log(format_args!("{}: {:?} is no address: passed over", m.id, m.host_port));
+                net.log(format_args!(
+                    "{}: {:?} is not an address; server ignored",
+                    member.id, member.host_port
+                ));
                 continue;
             }
-            let line = ServerEntry {
-                id: self.of(&m.id),
-                zone: place(&site.zones, &m.locality, u8::MAX.into()) as u8,
-                cell: m.cell,
-                kind: place(&site.kinds, &m.flavor, u16::MAX.into()) as u16,
-                weight: m.size.filter(|s| s.is_finite()).unwrap_or(1.0),
+            let entry = ServerEntry {
+                id: self.of(&member.id),
+                zone: index_of(&site.zones, &member.locality, u8::MAX.into()) as u8,
+                cell: member.cell,
+                kind: index_of(&site.kinds, &member.flavor, u16::MAX.into()) as u16,
+                weight: member.size.filter(|s| s.is_finite()).unwrap_or(1.0),
                 started: if mutation_active(Mutation::ColdUnknown) {
                     0
                 } else {
-                    m.up_since_ms.saturating_mul(1000)
+                    member.up_since_ms.saturating_mul(1000)
                 },
                 condition,
             };
-            lines.push((line, address));
+            entries.push((entry, address));
         }
-        lines
+        entries
     }
 }
 
-/// The place of a name in the settings; a name that they lack gets a number past them, the same at every node.
-fn place(names: &[String], name: &str, most: u64) -> u64 {
+/// Returns the index of a name in the settings. A name that the settings lack gets a number beyond the last
+/// index, which is the same on every node.
+fn index_of(names: &[String], name: &str, max: u64) -> u64 {
     let hashed = || {
         names.len() as u64
-            + xxh3_64_with_seed(name.as_bytes(), 0) % most.saturating_sub(names.len() as u64).max(1)
+            + xxh3_64_with_seed(name.as_bytes(), 0) % max.saturating_sub(names.len() as u64).max(1)
     };
     names.iter().position(|n| n == name).map_or_else(hashed, |at| at as u64)
 }
 
-/// How discovery is asked.
+/// How discovery is queried.
 #[derive(Clone, Copy)]
 pub enum DiscoveryMode {
-    /// An agent on this machine has what is pushed to it, at no cost; a drain that it has must be done within so long.
+    /// An agent on this machine, to which the list is pushed; querying it costs nothing. A drain that the
+    /// agent knows of must take effect within `grace`.
     Agent { grace: Duration },
-    /// One service for all works through its calls in turn.
+    /// A central service for all nodes, which answers its calls one after the other.
     Service,
 }
 
-/// Watches the list for as long as the node wants it, at the address that holds at the time.
+/// Fetches and watches the server list as `requests` says, at the address that `addresses` holds, until the
+/// node ends.
 pub async fn run<N: Net>(
     net: N,
     mut addresses: watch::Receiver<SocketAddr>,
-    way: DiscoveryMode,
-    known: Option<u64>,
-    mut wanted: watch::Receiver<DiscoveryRequest>,
+    mode: DiscoveryMode,
+    known_revision: Option<u64>,
+    mut requests: watch::Receiver<DiscoveryRequest>,
     events: mpsc::Sender<NodeInput>,
 ) {
-    let pushed = matches!(way, DiscoveryMode::Agent { .. });
-    let pause = match way {
-        DiscoveryMode::Agent { grace } => (grace / AGAIN.0).clamp(AGAIN.1, AGAIN.2),
-        DiscoveryMode::Service => PAUSE,
+    let is_agent = matches!(mode, DiscoveryMode::Agent { .. });
+    let retry_interval = match mode {
+        DiscoveryMode::Agent { grace } => {
+            (grace / AGENT_RETRIES_PER_GRACE).clamp(MIN_AGENT_RETRY, MAX_AGENT_RETRY)
+        }
+        DiscoveryMode::Service => RETRY_PAUSE,
     };
-    let (mut connection, mut revision, mut calls, mut failing) = (None, known, 0, false);
-    // What was held at the start may be old. An agent gives the whole list at no cost; where discovery is one
-    // service for all, only what changed since is asked for. Which of the two it is the settings say: whether a watch
-    // is wanted already tells nothing, for the decisions may have asked for one before this task first runs.
-    let mut first = pushed;
-    let mut moved = false;
+    let (mut connection, mut revision, mut calls, mut is_failing) = (None, known_revision, 0, false);
+    // The list known at the start may be stale. An agent returns the whole list at no cost; a central service
+    // is asked only for the changes since. The mode must come from the settings: whether a watch is requested
+    // says nothing, since the policy may have requested one before this task first runs.
+    let mut need_whole_list = is_agent;
+    let mut address_changed = false;
     loop {
-        let now = *wanted.borrow_and_update();
+        let current = *requests.borrow_and_update();
         if addresses.has_changed().unwrap_or(false) {
-            moved = true;
+            address_changed = true;
         }
         let address = *addresses.borrow_and_update();
-        if moved {
-            // Another service: its revisions have nothing to do with the old ones, so the whole list is asked for,
-            // and what the old one has still to say is not waited for.
-            (connection, revision, failing) = (None, None, false);
+        if address_changed {
+            // The revisions of another service are unrelated to the old ones: request the whole list, and
+            // drop any pending answer of the old service.
+            (connection, revision, is_failing) = (None, None, false);
         }
-        if !now.watch && now.calls == calls && !moved {
+        if !current.watch && current.calls == calls && !address_changed {
             tokio::select! {
                 biased;
-                changed = wanted.changed() => if changed.is_err() { return },
-                Ok(()) = addresses.changed() => moved = true,
+                changed = requests.changed() => if changed.is_err() { return },
+                Ok(()) = addresses.changed() => address_changed = true,
             }
             continue;
         }
-        let whole = first || !now.watch;
-        calls = now.calls;
+        let whole = need_whole_list || !current.watch;
+        calls = current.calls;
         let answer = tokio::select! {
             biased;
             Ok(()) = addresses.changed() => {
-                moved = true;
+                address_changed = true;
                 continue;
             }
-            answer = ask(&net, connection.take(), address, revision.filter(|_| !whole), way, pause) => answer,
+            answer = fetch_list(
+                &net, connection.take(), address, revision.filter(|_| !whole), mode, retry_interval
+            ) => answer,
         };
-        moved = false;
-        let heard = match answer {
-            Ok((list, answered)) => {
-                (first, failing) = (false, false);
-                (revision, connection) = (Some(list.revision), Some(answered));
+        address_changed = false;
+        let update = match answer {
+            Ok((list, answered_on)) => {
+                (need_whole_list, is_failing) = (false, false);
+                (revision, connection) = (Some(list.revision), Some(answered_on));
                 ListUpdate::List(list)
             }
             Err(e) => {
-                // A silent or broken agent must not hang the watch: begin again on a new connection.
-                // What answers next may have begun anew, without memory of servers that went: its revisions may look
-                // like those held here, and changes since one of them would leave out what nobody remembers.
-                first = pushed;
-                if !failing {
-                    net.log(format_args!("discovery: {e}; trying again until it answers"));
+                // An unresponsive or broken agent must not block the watch: start over on a new connection.
+                // The agent may have restarted and forgotten servers that left. Its revisions may then look
+                // like those known here, and the changes since one of them would omit those departures.
+                need_whole_list = is_agent;
+                if !is_failing {
+                    net.log(format_args!("discovery: {e}; retrying until it answers"));
                 }
-                failing = true;
+                is_failing = true;
                 ListUpdate::Failed
             }
         };
-        if events.send(NodeInput::Discovery(heard)).await.is_err() {
+        if events.send(NodeInput::Discovery(update)).await.is_err() {
             return;
         }
-        if failing {
-            net.sleep(pause).await;
+        if is_failing {
+            net.sleep(retry_interval).await;
         }
     }
 }
 
-/// What is said of a call that has had its time.
-const SILENT: &str = "no answer";
+/// The error of a call that timed out.
+const NO_ANSWER: &str = "no answer";
 
-/// A list and the connection that it came on.
-type Answer<N> = Result<(ServerList, Connection<N>), String>;
+/// A server list and the connection on which it arrived.
+type CallResult<N> = Result<(ServerList, Connection<N>), String>;
 
-/// How a call that is owed an answer is made again beside those that are out: a call made in a silence may never be
-/// answered.
+/// When an unanswered call is repeated while earlier ones are still outstanding (hedging): a call made while
+/// the other side is unresponsive may never be answered.
 #[derive(Clone, Copy)]
-struct Repeats {
-    /// The first of them, so long after the call itself, and the others after each other.
-    first: Duration,
-    every: Duration,
-    /// Calls that are out at once.
-    most: usize,
-    /// All are given up by then.
-    within: Duration,
+struct HedgePolicy {
+    /// The time from the first call to the second.
+    first_delay: Duration,
+    /// The time between further calls.
+    interval: Duration,
+    /// The most calls that are outstanding at once.
+    max_calls: usize,
+    /// The time, with `RESPONSE_MARGIN` added, after which all calls are abandoned.
+    time_limit: Duration,
 }
 
-impl Repeats {
-    fn of(way: DiscoveryMode, is_watch: bool, pause: Duration) -> Self {
-        match way {
-            // It costs nothing to ask an agent.
-            DiscoveryMode::Agent { .. } => Repeats {
-                first: if is_watch { WAIT + pause } else { pause },
-                every: pause,
-                most: CALLS,
-                within: WAIT + LATE,
+impl HedgePolicy {
+    fn of(mode: DiscoveryMode, is_watch: bool, retry_interval: Duration) -> Self {
+        match mode {
+            // Querying an agent costs nothing.
+            DiscoveryMode::Agent { .. } => HedgePolicy {
+                first_delay: if is_watch { WATCH_WAIT + retry_interval } else { retry_interval },
+                interval: retry_interval,
+                max_calls: CALLS,
+                time_limit: WATCH_WAIT + RESPONSE_MARGIN,
             },
-            // The call before may only wait for its turn, and stays out. What a lost one would have told counts as told
-            // 6 s later, also where the next one is lost as well.
-            DiscoveryMode::Service => Repeats {
-                first: WAIT + LATE / 2,
-                every: LATE,
-                most: SERVICE_CALLS,
-                within: (WAIT + LATE) * 2,
+            // An earlier call may merely be queued, so it stays outstanding. A change missed by a lost call
+            // must be known 6 s later, even if the next call is lost as well.
+            DiscoveryMode::Service => HedgePolicy {
+                first_delay: WATCH_WAIT + RESPONSE_MARGIN / 2,
+                interval: RESPONSE_MARGIN,
+                max_calls: MAX_SERVICE_CALLS,
+                time_limit: (WATCH_WAIT + RESPONSE_MARGIN) * 2,
             },
         }
     }
 }
 
-/// Asks, and again as it is owed an answer, each time on a new connection, until one of the calls is answered or all have
-/// had their time. An agent is asked for the whole list then, a service for what has changed.
-async fn ask<N: Net>(
+/// Calls discovery, and repeats the call on a new connection while there is no answer, until one of the calls
+/// is answered or all have timed out. Repeated calls ask an agent for the whole list, and a service for the
+/// changes.
+async fn fetch_list<N: Net>(
     net: &N,
     open: Option<Connection<N>>,
     address: SocketAddr,
     after: Option<u64>,
-    way: DiscoveryMode,
-    pause: Duration,
-) -> Answer<N> {
-    let first = call(net, open, address, after, way);
+    mode: DiscoveryMode,
+    retry_interval: Duration,
+) -> CallResult<N> {
+    let first_call = call(net, open, address, after, mode);
     if mutation_active(Mutation::SilentCallWaits) {
-        return first.await;
+        return first_call.await;
     }
-    let repeats = Repeats::of(way, after.is_some(), pause);
-    let again = after.filter(|_| matches!(way, DiscoveryMode::Service));
-    let mut calls: Calls<'_, N> = Calls::default();
-    calls.push_back(Box::pin(first));
-    let until = net.now() + repeats.within + LATE;
-    let mut next = net.now() + repeats.first;
+    let hedging = HedgePolicy::of(mode, after.is_some(), retry_interval);
+    let hedge_after = after.filter(|_| matches!(mode, DiscoveryMode::Service));
+    let mut calls: PendingCalls<'_, N> = PendingCalls::default();
+    calls.push_back(Box::pin(first_call));
+    let until = net.now() + hedging.time_limit + RESPONSE_MARGIN;
+    let mut next = net.now() + hedging.first_delay;
     loop {
-        if let Some(answer) = net.timeout_at(next.min(until), any_answer(&mut calls, way)).await {
+        if let Some(answer) = net.timeout_at(next.min(until), first_answer(&mut calls, mode)).await {
             return answer;
         }
         if net.now() >= until {
-            return Err(SILENT.into());
+            return Err(NO_ANSWER.into());
         }
-        next = net.now() + repeats.every;
-        // The first keeps its place for as long as an answer may take; of the others the oldest gives way.
-        if calls.len() >= repeats.most {
+        next = net.now() + hedging.interval;
+        // The first call may still be answered and is kept; the oldest of the others is dropped.
+        if calls.len() >= hedging.max_calls {
             drop(calls.remove(1));
         }
-        calls.push_back(Box::pin(call(net, None, address, again, way)));
+        calls.push_back(Box::pin(call(net, None, address, hedge_after, mode)));
     }
 }
 
-/// Calls that are out, the oldest first.
-type Calls<'a, N> = VecDeque<Pin<Box<dyn Future<Output = Answer<N>> + 'a>>>;
+/// Outstanding calls, the oldest first.
+type PendingCalls<'a, N> = VecDeque<Pin<Box<dyn Future<Output = CallResult<N>> + 'a>>>;
 
-/// The first good answer, or the failure after which the call begins anew: of an agent's first call, or of the last that
-/// is out. Safe to drop and call again.
-async fn any_answer<N: Net>(calls: &mut Calls<'_, N>, way: DiscoveryMode) -> Answer<N> {
+/// Returns the first successful answer, or the error after which the caller starts over: that of an agent's
+/// first call, or of the last outstanding call. Cancel-safe.
+async fn first_answer<N: Net>(calls: &mut PendingCalls<'_, N>, mode: DiscoveryMode) -> CallResult<N> {
     poll_fn(|cx| {
         let mut at = 0;
-        while let Some(one) = calls.get_mut(at) {
-            match one.as_mut().poll(cx) {
+        while let Some(pending_call) = calls.get_mut(at) {
+            match pending_call.as_mut().poll(cx) {
                 Poll::Ready(Ok(answer)) => return Poll::Ready(Ok(answer)),
                 Poll::Ready(Err(e)) => {
                     drop(calls.remove(at));
-                    let begins_anew = at == 0 && matches!(way, DiscoveryMode::Agent { .. });
-                    // That a service does not answer in time is no failure yet: it is asked again.
-                    if begins_anew || (calls.is_empty() && e != SILENT) {
+                    let restarts = at == 0 && matches!(mode, DiscoveryMode::Agent { .. });
+                    // A service's time-out is not a failure yet: the call is repeated.
+                    if restarts || (calls.is_empty() && e != NO_ANSWER) {
                         return Poll::Ready(Err(e));
                     }
                 }
@@ -317,31 +332,38 @@
     open: Option<Connection<N>>,
     address: SocketAddr,
     after: Option<u64>,
-    way: DiscoveryMode,
-) -> Answer<N> {
+    mode: DiscoveryMode,
+) -> CallResult<N> {
     let path = match after {
-        Some(revision) => format!("/api/targets?after={revision}&wait_ms={}", WAIT.as_millis()),
+        Some(revision) => format!("/api/targets?after={revision}&wait_ms={}", WATCH_WAIT.as_millis()),
         None => "/api/targets".into(),
     };
     let mut connection = match open.filter(|c| c.sender.is_ready()) {
         Some(open) => open,
-        None => http::connect(net, address, LATE).await.map_err(|e| format!("no connection: {e}"))?,
+        None => {
+            http::connect(net, address, RESPONSE_MARGIN).await.map_err(|e| format!("no connection: {e}"))?
+        }
     };
     let request =
         hyper::Request::get(path).header("Host", address.to_string()).body(Full::<Bytes>::default());
     let request = request.map_err(|e| e.to_string())?;
-    // An agent owes a whole list at once: to wait longer for it would take up the time in which a move must be done.
-    // A service for all works through its calls in turn; what is given up before its turn is work for nobody.
-    let within = if after.is_some() || matches!(way, DiscoveryMode::Service) { WAIT + LATE } else { LATE };
-    let answer = net.timeout(within, async {
+    // An agent returns a whole list at once; waiting longer would use up the time in which a drain must take
+    // effect. A central service answers calls one after the other, and a call abandoned while queued wastes
+    // its work.
+    let time_limit = if after.is_some() || matches!(mode, DiscoveryMode::Service) {
+        WATCH_WAIT + RESPONSE_MARGIN
+    } else {
+        RESPONSE_MARGIN
+    };
+    let answer = net.timeout(time_limit, async {
         let response = connection.sender.send_request(request).await.map_err(|e| e.to_string())?;
         if response.status() != 200 {
             return Err(format!("answered {}", response.status()));
         }
-        http::body(response.into_body(), MAX_LIST).await
+        http::body(response.into_body(), MAX_LIST_BYTES).await
     });
-    let body = answer.await.ok_or(SILENT)??;
-    let _ = net.timeout(PAUSE, connection.sender.ready()).await;
+    let body = answer.await.ok_or(NO_ANSWER)??;
+    let _ = net.timeout(RETRY_PAUSE, connection.sender.ready()).await;
     let list = ServerList::read(&body).map_err(|e| format!("unreadable list: {e}"))?;
     Ok((list, connection))
 }
--- a/crates/mothpier/src/drains.rs
+++ b/crates/mothpier/src/drains.rs
@@ -1,5 +1,6 @@
-//! The node's part in the fleet's agreement on drains: it learns who is out before it says that it is ready, has that in
-//! effect, confirms it, and reports what changes. What it does is decided in `mothpier_coordination::fleet::follow`.
+//! The node's part in fleet-wide drains: it learns which cache servers and nodes are drained before it
+//! reports ready, puts this into effect, confirms it to the coordinators and reports its own state. The rules
+//! are in `mothpier_coordination::fleet::follow`.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,83 +15,90 @@
 use mothpier_net::Net;
 use tokio::sync::oneshot;
 
-use crate::config::coordination::{Coordination, Fleet};
+use crate::config::coordination::{Coordination, FleetConfig};
 use crate::messages::AdminCommand;
 use crate::operations::Operations;
 use crate::phase::DrainSource;
 
-/// One reading of all drains.
-const ASK: Duration = Duration::from_secs(5);
-/// A watch waits so long, and then all is read again: a coordinator that was cut off has no changes to tell.
-const WATCH: Duration = Duration::from_secs(5);
-/// After a failure.
-const AGAIN: Duration = Duration::from_millis(300);
-/// How often the node looks at what it has to report: reports are as rare as what changes in them.
-const LOOK: Duration = Duration::from_millis(100);
-/// The share of refused requests is taken over this time and told by steps of so many percent.
-const SHARE_OVER: Duration = Duration::from_secs(1);
-const SHARE_STEP: u8 = 5;
-/// Where another process of this node serves beside it: that one reads the shelf every 0.1 s and follows the fleet itself.
-const BESIDE: Duration = Duration::from_millis(500);
+/// The time limit of a call to the coordinators.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a watch waits for changes. All drains are then read again, since a coordinator that is cut off
+/// from the others reports no changes.
+const WATCH_WAIT: Duration = Duration::from_secs(5);
+/// The pause after a failed call.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// How often the node checks whether it has something to report. Only changes are sent.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// The time over which the share of refused requests is measured. It is reported in steps of
+/// `REFUSED_SHARE_STEP_PERCENT`.
+const REFUSED_SHARE_WINDOW: Duration = Duration::from_secs(1);
+const REFUSED_SHARE_STEP_PERCENT: u8 = 5;
+/// How long after a change drains are confirmed if another process of this node also serves. That process
+/// applies the change in this time: it reads the handover store every 0.1 s and follows the fleet itself.
+const OTHER_PROCESS_DELAY: Duration = Duration::from_millis(500);
 
-/// The node's part.
+/// Applies the fleet's drains on this node and reports the node's state.
 pub struct Drains<N: Net> {
     operations: Rc<Operations<N>>,
     client: Rc<Client<N>>,
     node: String,
-    settings: Fleet,
+    config: FleetConfig,
     follower: RefCell<Follower>,
-    /// Cache servers that are kept out as of now, and since when this is so.
+    /// The drained cache servers that are now in effect.
     effect: RefCell<Effect>,
-    since: Cell<Instant>,
-    /// Requests that ended, and those refused, at the beginning of the present share; and the last share.
-    counted: Cell<(Instant, u64, u64)>,
+    /// When `effect` last changed.
+    effect_since: Cell<Instant>,
+    /// The start of the current window, and the numbers of finished and of refused or failed requests by
+    /// then.
+    refused_window: Cell<(Instant, u64, u64)>,
+    /// The share of refused or failed requests in the last full window.
     refused_percent: Cell<u8>,
-    /// The session under which it joined last; `None` before the first.
-    joined: RefCell<Option<String>>,
+    /// The session with which the node last joined the fleet; `None` before the first.
+    joined_session: RefCell<Option<String>>,
 }
 
-/// Whose session has the node's name in the fleet.
+/// Which session holds the node's name in the fleet.
 enum NameHolder {
-    /// Nobody's, or this process's own that has ended.
+    /// None, or an ended session of this process.
     Nobody,
-    /// That of another process of this node.
+    /// A session of another process of this node.
     AnotherProcess,
-    /// The fleet could not be read.
+    /// The coordinators could not be asked.
     Unknown,
 }
 
 impl<N: Net> Drains<N> {
-    /// A node that knows nothing yet.
+    /// Creates the state of a node that knows no drains yet.
     ///
     /// # Errors
     ///
-    /// A name that the fleet can't keep, or a machine without entropy.
+    /// A message if the node's name is not valid in a fleet, or if the system provides no entropy.
     pub fn new(
         operations: Rc<Operations<N>>,
-        told: &Coordination,
-        settings: Fleet,
+        coordination: &Coordination,
+        config: FleetConfig,
         node: &str,
     ) -> Result<Rc<Self>, String> {
         if !mothpier_coordination::limits::is_name(node) {
             return Err(format!(
-                "the name {node:?} can't be a fleet's: letters, digits and -_.:@/ are wanted"
+                "the node name {node:?} is not valid in a fleet: only letters, digits and -_.:@/ are allowed"
             ));
         }
         let net = operations.net.clone();
-        let client = Client::new(net.clone(), told.cluster.clone(), told.coordinators.clone())?;
+        let client =
+            Client::new(net.clone(), coordination.cluster.clone(), coordination.coordinators.clone())?;
         let now = net.now();
         Ok(Rc::new(Drains {
             operations,
             client,
             node: node.into(),
-            settings,
+            config,
             follower: RefCell::new(Follower::new(node)),
             effect: RefCell::default(),
-            since: Cell::new(now),
-            counted: Cell::new((now, 0, 0)),
+            effect_since: Cell::new(now),
+            refused_window: Cell::new((now, 0, 0)),
             refused_percent: Cell::new(0),
-            joined: RefCell::default(),
+            joined_session: RefCell::default(),
         }))
     }
 
@@ -98,44 +106,45 @@
         &self.operations.net
     }
 
-    /// Follows the fleet for as long as the node lives.
+    /// Follows the fleet's drains until the node ends.
     pub async fn run(self: Rc<Self>) {
-        // What a process of this node last knew counts until the coordinators say otherwise.
+        // The state that an earlier process of this node knew applies until the coordinators have answered.
         if let Some(kept) = self.operations.succession.as_ref().map(|s| s.drained()) {
-            self.take(kept.out, kept.own).await;
+            self.put_into_effect(kept.out, kept.own).await;
         }
-        let own = self.clone();
+        let this = self.clone();
         self.net().spawn(async move {
-            own.net().sleep(own.settings.start_alone).await;
-            if !own.follower.borrow().knows() {
-                own.net().log("no coordinators: starts without knowing who of the fleet is out");
-                own.operations.phase.told();
+            this.net().sleep(this.config.start_alone).await;
+            if !this.follower.borrow().knows() {
+                this.net().log("no coordinators: starts without knowing who of the fleet is out");
+                this.operations.phase.told();
             }
         });
-        self.net().spawn(self.clone().belong());
+        self.net().spawn(self.clone().maintain_membership());
         loop {
-            match self.client.drains(self.net().now() + ASK).await {
+            match self.client.drains(self.net().now() + CALL_TIMEOUT).await {
                 Ok(all) => {
                     let first = !self.follower.borrow().knows();
                     self.follower.borrow_mut().read(all.drains);
-                    self.obey().await;
+                    self.apply_drains().await;
                     if first {
                         self.net().log("who of the fleet is out is known");
                         self.operations.phase.told();
                     }
                     self.follow(all.revision).await;
                 }
-                Err(_) => self.net().sleep(AGAIN).await,
+                Err(_) => self.net().sleep(RETRY_PAUSE).await,
             }
         }
     }
 
-    /// Hears of changes while that goes well, and for the time of one watch after the last.
+    /// Applies changes until a call fails, or until a whole watch brings none.
     async fn follow(&self, mut revision: u64) {
         loop {
-            let until = self.net().now() + WATCH + ASK;
-            let Ok(Seen::Changes(next, changes)) = self.client.watch(revision, WATCH, until).await else {
-                return self.net().sleep(AGAIN).await;
+            let until = self.net().now() + WATCH_WAIT + CALL_TIMEOUT;
+            let Ok(Seen::Changes(next, changes)) = self.client.watch(revision, WATCH_WAIT, until).await
+            else {
+                return self.net().sleep(RETRY_PAUSE).await;
             };
             if changes.is_empty() {
                 return;
@@ -146,25 +155,27 @@
                 }
             }
             revision = next;
-            self.obey().await;
+            self.apply_drains().await;
         }
     }
 
-    async fn obey(&self) {
-        let (out, own) = {
+    /// Puts the drains that are now known into effect, and stores them for other processes of the node.
+    async fn apply_drains(&self) {
+        let (out, node_drained) = {
             let follower = self.follower.borrow();
             (follower.out(), follower.empties())
         };
         if let Some(succession) = &self.operations.succession {
-            // Logged where it can't be kept, and tried again.
-            let _ = succession.said(self.net(), |state, now| state.drained(now, out.clone(), own));
+            // A failure to store them is logged there, and the write is retried.
+            let _ = succession.said(self.net(), |state, now| state.drained(now, out.clone(), node_drained));
         }
-        self.take(out, own).await;
+        self.put_into_effect(out, node_drained).await;
     }
 
-    /// Has it in effect when this returns.
-    async fn take(&self, out: std::collections::BTreeSet<String>, own: bool) {
-        if own {
+    /// Drains exactly the cache servers in `out`, and this node if `node_drained`. In effect when this
+    /// returns.
+    async fn put_into_effect(&self, out: std::collections::BTreeSet<String>, node_drained: bool) {
+        if node_drained {
             self.operations.clone().empty(DrainSource::Fleet);
         } else {
             self.operations.refill(DrainSource::Fleet);
@@ -172,124 +183,131 @@
         if out == self.effect.borrow().out {
             return;
         }
-        let (tell, told) = oneshot::channel();
+        let (tell, applied) = oneshot::channel();
         let _ = self.operations.orders.send(AdminCommand::FleetDrained { out: out.clone(), tell }).await;
-        if told.await.is_ok() {
+        if applied.await.is_ok() {
             let names = out.iter().map(String::as_str).collect::<Vec<_>>().join(",");
             self.net().log(format_args!("drained by the fleet: [{names}]"));
             self.effect.borrow_mut().out = out;
-            self.since.set(self.net().now());
+            self.effect_since.set(self.net().now());
         }
     }
 
-    /// Is a node of the fleet for as long as it lives: one session after another.
-    async fn belong(self: Rc<Self>) {
+    /// Keeps the node in the fleet until the node ends, with a new session after each one that ends.
+    async fn maintain_membership(self: Rc<Self>) {
         loop {
-            let ttl = self.settings.ttl;
+            let ttl = self.config.ttl;
             match self.name_holder().await {
                 NameHolder::Nobody => {}
                 NameHolder::AnotherProcess => {
-                    // A new process of the node, most likely, and this one is about to end.
+                    // Most likely a new process of the node, in which case this one is about to end.
                     self.net().sleep(ttl).await;
                     continue;
                 }
                 NameHolder::Unknown => {
-                    self.net().sleep(AGAIN).await;
+                    self.net().sleep(RETRY_PAUSE).await;
                     continue;
                 }
             }
             let name = format!("node:{}:{}", self.node, self.client.draw_name());
-            // That there are no coordinators is said by those who wait for what the fleet says.
+            // A failure to reach the coordinators is logged by the task that waits for the fleet's drains.
             if let Ok(session) = Session::open(self.client.clone(), name, ttl, ttl).await
-                && let Err(why) = self.report(&session).await
+                && let Err(reason) = self.run_session(&session).await
             {
-                self.net().log(format_args!("out of the fleet's sight: {why}"));
+                self.net().log(format_args!("fleet session ended: {reason}"));
             }
-            self.net().sleep(AGAIN).await;
+            self.net().sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Who has the node's name since this process joined: whoever begins takes it, and nobody takes it back.
+    /// Returns which session holds the node's name. A new process takes the name over; this one must not take
+    /// it back.
     async fn name_holder(&self) -> NameHolder {
-        let Some(own) = self.joined.borrow().clone() else { return NameHolder::Nobody };
-        let Ok(all) = self.client.fleet(self.net().now() + ASK).await else { return NameHolder::Unknown };
+        let Some(own_session) = self.joined_session.borrow().clone() else { return NameHolder::Nobody };
+        let Ok(all) = self.client.fleet(self.net().now() + CALL_TIMEOUT).await else {
+            return NameHolder::Unknown;
+        };
         let holder = all.fleet.nodes.get(&self.node).and_then(|n| n.session.clone());
         match holder {
-            Some(holder) if holder != own => NameHolder::AnotherProcess,
+            Some(holder) if holder != own_session => NameHolder::AnotherProcess,
             _ => NameHolder::Nobody,
         }
     }
 
-    /// Joins, and tells and confirms what changes, until the session is over.
-    async fn report(&self, session: &Session<N>) -> Result<(), String> {
-        let join = FleetAsk::Join { node: self.node.clone(), zone: self.settings.zone.clone() };
-        let joined = session.fleet(join).await.map_err(|lost| lost.to_string())?;
-        joined.map_err(|why| why.to_string())?;
-        *self.joined.borrow_mut() = Some(session.name.clone());
+    /// Joins the fleet, then reports and confirms changes until the session ends.
+    async fn run_session(&self, session: &Session<N>) -> Result<(), String> {
+        let join = FleetAsk::Join { node: self.node.clone(), zone: self.config.zone.clone() };
+        let joined = session.fleet(join).await.map_err(|error| error.to_string())?;
+        joined.map_err(|reason| reason.to_string())?;
+        *self.joined_session.borrow_mut() = Some(session.name.clone());
         self.follower.borrow_mut().joined();
-        let (mut reporter, mut list_held) = (Reporter::default(), 0);
+        let (mut reporter, mut known_list) = (Reporter::default(), 0);
         loop {
-            if let Some(servers) = self.new_list(&mut list_held).await? {
+            if let Some(servers) = self.ready_servers_if_changed(&mut known_list).await? {
                 reporter.set_servers(servers);
             }
             self.report_changes(session, &mut reporter).await?;
             let effect = self.in_effect();
             let confirms = self.follower.borrow().confirms(&effect);
-            let beside = self.operations.succession.as_ref().is_some_and(|s| s.accompanied());
-            if !beside || self.net().since(self.since.get()) >= BESIDE {
+            let other_process_serves = self.operations.succession.as_ref().is_some_and(|s| s.accompanied());
+            if !other_process_serves || self.net().since(self.effect_since.get()) >= OTHER_PROCESS_DELAY {
                 for (drain, turn) in confirms {
-                    self.ask(session, FleetAsk::Confirm { drain, turn }).await?;
+                    self.send(session, FleetAsk::Confirm { drain, turn }).await?;
                     self.follower.borrow_mut().confirmed(drain, turn);
                 }
             }
-            self.net().sleep(LOOK).await;
-            session.left().map_err(|lost| lost.to_string())?;
+            self.net().sleep(REPORT_INTERVAL).await;
+            session.left().map_err(|error| error.to_string())?;
         }
     }
 
-    /// The cache servers that are ready, where the node's list is another than the one that is held.
-    async fn new_list(&self, held: &mut u64) -> Result<Option<ReadyList>, String> {
-        let (tell, ready) = oneshot::channel();
-        let _ = self.operations.orders.send(AdminCommand::ReadyServers { held: *held, tell }).await;
-        let listed = ready.await.map_err(|_| "the node has ended".to_owned())?;
-        let Some((number, lines)) = listed else { return Ok(None) };
-        *held = number;
-        let line =
-            |line: ServerRecord| Listed { id: line.id, zone: line.locality, up_since_ms: line.up_since_ms };
-        Ok(Some(ready_list(lines.into_iter().map(line))))
+    /// Returns the ready cache servers if the node's list has changed since the one numbered `known_list`.
+    async fn ready_servers_if_changed(&self, known_list: &mut u64) -> Result<Option<ReadyList>, String> {
+        let (tell, reply) = oneshot::channel();
+        let _ = self.operations.orders.send(AdminCommand::ReadyServers { held: *known_list, tell }).await;
+        let answer = reply.await.map_err(|_| "the node has ended".to_owned())?;
+        let Some((number, records)) = answer else { return Ok(None) };
+        *known_list = number;
+        let listed = |record: ServerRecord| Listed {
+            id: record.id,
+            zone: record.locality,
+            up_since_ms: record.up_since_ms,
+        };
+        Ok(Some(ready_list(records.into_iter().map(listed))))
     }
 
-    /// Reports what has changed, if anything has.
+    /// Sends a report if there is something new to report.
     async fn report_changes(&self, session: &Session<N>, reporter: &mut Reporter) -> Result<(), String> {
         let ready = self.operations.phase.ready().is_ok();
-        let Some(report) = reporter.next(ready, self.refused()) else { return Ok(()) };
+        let Some(report) = reporter.next(ready, self.refused_share_percent()) else { return Ok(()) };
         let number = report.number;
         let answer = session.fleet(FleetAsk::NumberedReport { report }).await;
-        match answer.map_err(|lost| lost.to_string())? {
+        match answer.map_err(|error| error.to_string())? {
             Ok(_) => reporter.accepted(number),
-            // The next look sends the whole list.
+            // The next report contains the whole list.
             Err(FleetRefusal::UnknownBase { last }) => reporter.base_unknown(number, last),
-            Err(why @ FleetRefusal::NoNode) => return Err(why.to_string()),
-            Err(why) => {
-                self.net().log(format_args!("the fleet does not take this node's report: {why}"));
+            Err(reason @ FleetRefusal::NoNode) => return Err(reason.to_string()),
+            Err(reason) => {
+                self.net().log(format_args!("the coordinators rejected this node's report: {reason}"));
                 reporter.rejected(number);
             }
         }
         Ok(())
     }
 
-    async fn ask(&self, session: &Session<N>, ask: FleetAsk) -> Result<(), String> {
-        match session.fleet(ask).await.map_err(|lost| lost.to_string())? {
+    async fn send(&self, session: &Session<N>, ask: FleetAsk) -> Result<(), String> {
+        match session.fleet(ask).await.map_err(|error| error.to_string())? {
             Ok(_) => Ok(()),
-            Err(why @ FleetRefusal::NoNode) => Err(why.to_string()),
-            Err(why) => {
-                self.net().log(format_args!("the fleet does not take this node's word: {why}"));
+            Err(reason @ FleetRefusal::NoNode) => Err(reason.to_string()),
+            Err(reason) => {
+                self.net().log(format_args!("the coordinators rejected this node's request: {reason}"));
                 Ok(())
             }
         }
     }
 
-    /// What is so now: of this node, whether it has ended all that it had taken.
+    /// Returns the drains in effect: the cache servers, and whether this node is drained and has no requests
+    /// left.
     fn in_effect(&self) -> Effect {
         let phase = &self.operations.phase;
         let empty = self.follower.borrow().empties()
@@ -299,14 +317,14 @@
         Effect { out: self.effect.borrow().out.clone(), empty }
     }
 
-    /// Part of the requests that were refused or failed lately, in percent.
-    fn refused(&self) -> u8 {
-        let (since, all, bad) = self.counted.get();
-        if self.net().since(since) >= SHARE_OVER {
+    /// Returns the share of requests that were refused or failed in the last full window, in percent.
+    fn refused_share_percent(&self) -> u8 {
+        let (since, all, bad) = self.refused_window.get();
+        if self.net().since(since) >= REFUSED_SHARE_WINDOW {
             let (all_now, bad_now) = self.operations.figures.totals();
-            self.counted.set((self.net().now(), all_now, bad_now));
+            self.refused_window.set((self.net().now(), all_now, bad_now));
             let share = (100 * (bad_now - bad)).checked_div(all_now - all).unwrap_or(0) as u8;
-            self.refused_percent.set(share / SHARE_STEP * SHARE_STEP);
+            self.refused_percent.set(share / REFUSED_SHARE_STEP_PERCENT * REFUSED_SHARE_STEP_PERCENT);
         }
         self.refused_percent.get()
     }
--- a/crates/mothpier/src/lease_authority.rs
+++ b/crates/mothpier/src/lease_authority.rs
@@ -1,5 +1,7 @@
-//! Whom the node obeys in the name of a lease: the latest holder that it has heard of, within that one's time. What it has to
-//! know before it obeys anybody it reads from a majority of the coordinators; it keeps it over an upgrade.
+//! Decides whether to carry out commands given in the name of a lease: only those of the latest holder that
+//! the node knows of, and only within their time limit. The node refuses all such commands until it has read
+//! the lowest valid fences from a majority of the coordinators. An upgrade passes the fences on to the next
+//! process.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,114 +14,119 @@
 use crate::config::coordination::Coordination;
 use crate::process_handover::ProcessHandover;
 
-/// One call of the coordinators.
-const ASK: Duration = Duration::from_secs(5);
-/// A watch for grants waits so long.
-const WATCH: Duration = Duration::from_secs(20);
-/// After a failure.
-const AGAIN: Duration = Duration::from_secs(1);
+/// The time limit of a call to the coordinators.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a watch for new grants waits.
+const WATCH_WAIT: Duration = Duration::from_secs(20);
+/// The pause after a failed call, or after a watch ends.
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// What it knows of leases.
+/// The node's knowledge of leases and their fences.
 pub struct LeaseAuthority<N: Net> {
     net: N,
     client: Rc<Client<N>>,
     obeyer: RefCell<Obeyer>,
-    succession: Option<Rc<ProcessHandover>>,
+    handover: Option<Rc<ProcessHandover>>,
 }
 
 impl<N: Net> LeaseAuthority<N> {
-    /// One that begins and obeys nobody yet.
+    /// Creates an authority that knows no fences yet and refuses all commands.
     ///
     /// # Errors
     ///
-    /// A machine without entropy.
+    /// A message if the system provides no entropy.
     pub fn new(
         net: N,
-        told: Coordination,
-        succession: Option<Rc<ProcessHandover>>,
+        coordination: Coordination,
+        handover: Option<Rc<ProcessHandover>>,
     ) -> Result<Rc<Self>, String> {
-        let client = Client::new(net.clone(), told.cluster, told.coordinators)?;
+        let client = Client::new(net.clone(), coordination.cluster, coordination.coordinators)?;
         let obeyer = RefCell::new(Obeyer::new(client.draw_name()));
-        Ok(Rc::new(LeaseAuthority { net, client, obeyer, succession }))
+        Ok(Rc::new(LeaseAuthority { net, client, obeyer, handover }))
     }
 
     fn clock_ms(&self) -> u64 {
         self.net.boot_time().as_millis() as u64
     }
 
-    /// What its clock says, for a holder that is about to act.
+    /// Returns the time of the node's clock as JSON, for a lease holder that is about to give a command.
     pub fn clock(&self) -> String {
         let obeyer = self.obeyer.borrow();
-        let told =
+        let clock =
             serde_json::json!({"clock": obeyer.clock(), "now_ms": self.clock_ms(), "knows": obeyer.knows()});
-        format!("{told}\n")
+        format!("{clock}\n")
     }
 
-    /// Whether to do as a holder orders, now.
+    /// Checks whether a lease holder's command may be carried out now.
     ///
     /// # Errors
     ///
-    /// Why not.
+    /// Why the command is refused.
     pub fn obey(&self, act: &Act) -> Result<(), String> {
         let now = self.clock_ms();
         let obeyed = self.obeyer.borrow_mut().obey(act, now);
         if obeyed.is_ok() {
-            self.hand_over();
-            // The far end of a lease: what was obeyed, by the machine's clock.
+            self.store_floors();
+            // Lets tools compare the time at which a command was accepted, by the machine's clock, with the
+            // lease.
             let at = self.net.boot_time().as_micros();
             self.net.log(format_args!("obeys lease={} fence={} at_us={at}", act.lease, act.fence));
         }
-        obeyed.map_err(|why| why.to_string())
+        obeyed.map_err(|reason| reason.to_string())
     }
 
-    fn learn(&self, floors: Floors) {
+    /// Raises the lowest valid fences to those given; none is lowered.
+    fn raise_floors(&self, floors: Floors) {
         self.obeyer.borrow_mut().learn(floors);
-        self.hand_over();
+        self.store_floors();
     }
 
-    fn hand_over(&self) {
-        if let (Some(succession), Some(floors)) =
-            (&self.succession, self.obeyer.borrow().handed_over().cloned())
+    /// Stores the lowest valid fences for the next process of the node.
+    fn store_floors(&self) {
+        if let (Some(handover), Some(floors)) = (&self.handover, self.obeyer.borrow().handed_over().cloned())
         {
-            // Logged where it can't be kept, and tried again.
-            let _ = succession.said(&self.net, |state, _| state.obeyed(&floors));
+            // A failure to store them is logged there, and the write is retried.
+            let _ = handover.said(&self.net, |state, _| state.obeyed(&floors));
         }
     }
 
-    /// Learns what it must know, and then every grant, for as long as the node lives.
+    /// Reads the fences of all leases, then follows new grants, until the node ends.
     pub async fn run(self: Rc<Self>) {
         loop {
-            match self.client.leases(self.net.now() + ASK).await {
+            match self.client.leases(self.net.now() + CALL_TIMEOUT).await {
                 Ok(all) => {
                     let first = !self.obeyer.borrow().knows();
-                    self.learn(all.floors);
-                    // What the process before had seen counts as well, once a majority was asked.
-                    if let Some(before) = self.succession.as_ref().map(|s| s.floors()) {
-                        self.learn(before);
+                    self.raise_floors(all.floors);
+                    // The fences known to the previous process apply as well, once a majority has answered.
+                    if let Some(before) = self.handover.as_ref().map(|s| s.floors()) {
+                        self.raise_floors(before);
                     }
                     if first {
-                        self.net.log("the fences of all leases are known: holders are obeyed");
+                        self.net.log("lease fences are known; commands of lease holders are accepted");
                     }
                     self.follow(all.revision).await;
                 }
-                Err(why) => {
+                Err(reason) => {
                     if !self.obeyer.borrow().knows() {
-                        self.net.log(format_args!("no coordinators: no holder of a lease is obeyed: {why}"));
+                        self.net.log(format_args!(
+                            "no coordinators; commands of lease holders are refused: {reason}"
+                        ));
                     }
                 }
             }
-            self.net.sleep(AGAIN).await;
+            self.net.sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Hears of grants while that goes well: an old holder is refused before the new one has come here.
+    /// Follows new grants until a call fails, so that an old holder is refused even before the new one calls
+    /// this node.
     async fn follow(&self, mut revision: u64) {
         while let Ok(Seen::Changes(next, changes)) =
-            self.client.watch(revision, WATCH, self.net.now() + WATCH + ASK).await
+            self.client.watch(revision, WATCH_WAIT, self.net.now() + WATCH_WAIT + CALL_TIMEOUT).await
         {
             for (_, change) in changes {
                 if let Change::Granted { lease, fence, .. } = change {
-                    self.learn(Floors { others: 0, held: [(lease, fence)].into() });
+                    self.raise_floors(Floors { others: 0, held: [(lease, fence)].into() });
                 }
             }
             revision = next;
--- a/crates/mothpier/src/membership.rs
+++ b/crates/mothpier/src/membership.rs
@@ -1,5 +1,5 @@
-//! The sources of boxes as the node's parts share them: the list's form on one side, the view's on the other. What
-//! they are together is decided in `mothpier-membership`.
+//! The merged sources of cache servers, shared by the parts of the node, and conversions between the server
+//! list and the records of `mothpier-membership`, which holds the merging rules.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use crate::messages::{Member, ServerList};
 use crate::{Mutation, mutation_active};
 
-/// The sources of one node.
+/// The sources of cache servers of one node. Times are in milliseconds.
 #[derive(Clone)]
 pub struct Membership(Rc<RefCell<Sources>>);
 
@@ -27,17 +27,18 @@
         Membership(Rc::new(RefCell::new(Sources::new(settings, seed, now))))
     }
 
-    /// Takes the list, whole or changes only.
+    /// Applies a server list, either complete or with changes only.
     pub fn list(&self, now: u64, list: ServerList) {
-        let lines = list.members.into_iter().map(line).collect();
-        self.0.borrow_mut().list(now, list.complete, lines);
+        let records = list.members.into_iter().map(line).collect();
+        self.0.borrow_mut().list(now, list.complete, records);
     }
 
+    /// Records that the server list cannot be reached.
     pub fn list_out(&self) {
         self.0.borrow_mut().list_out();
     }
 
-    /// Takes what DNS says.
+    /// Applies the resolver's view of the service.
     pub fn names(&self, now: u64, view: &ServiceView) {
         let mut sources = self.0.borrow_mut();
         if view.word == DnsTrust::Nothing && mutation_active(Mutation::EmptyAnswer) {
@@ -46,65 +47,69 @@
         sources.names(now, view.word, &view.named, view.pending == 0, view.answers);
     }
 
-    /// Whether a message of another node is for the sources.
+    /// Returns whether a message from another node is a gossip message.
     pub fn is_message(bytes: &[u8]) -> bool {
         Gossip::is_message(bytes)
     }
 
+    /// Applies a gossip message from another node.
     pub fn heard(&self, now: u64, bytes: &[u8]) {
         self.0.borrow_mut().heard(now, bytes);
     }
 
+    /// Returns the next gossip message to send, if one is due.
     pub fn tell(&self, now: u64) -> Option<Vec<u8>> {
         self.0.borrow_mut().tell(now)
     }
 
+    /// Returns the latest time of the next look at the sources, if one is needed.
     pub fn due(&self, now: u64) -> Option<u64> {
         self.0.borrow().due(now)
     }
 
-    /// What changed in the view, as changes of a list, and which ids became others.
+    /// Returns the changes of the merged view as a partial server list, and the ids that were replaced (old,
+    /// new).
     pub fn changes(&self, now: u64) -> (ServerList, Vec<(String, String)>) {
         let changes = self.0.borrow_mut().changes(now);
         let members = changes.lines.into_iter().map(member).collect();
         (ServerList { revision: 0, complete: false, members }, changes.renamed)
     }
 
-    /// What the sources say, for people.
+    /// Describes the state of the sources, for people.
     pub fn text(&self) -> String {
         self.0.borrow().text()
     }
 }
 
-/// A line of the list as the sources know it.
-pub fn line(m: Member) -> ServerRecord {
-    let phase = match m.phase.as_str() {
+/// Converts a member of the server list to a record of the sources.
+pub fn line(member: Member) -> ServerRecord {
+    let phase = match member.phase.as_str() {
         "ready" => Phase::Ready,
         "draining" => Phase::Draining,
         _ => Phase::Gone,
     };
     ServerRecord {
-        id: m.id,
-        host_port: m.host_port,
-        locality: m.locality,
-        flavor: m.flavor,
-        cell: m.cell,
-        size: m.size,
-        up_since_ms: m.up_since_ms,
+        id: member.id,
+        host_port: member.host_port,
+        locality: member.locality,
+        flavor: member.flavor,
+        cell: member.cell,
+        size: member.size,
+        up_since_ms: member.up_since_ms,
         phase,
     }
 }
 
-/// A line of the sources as the list has it.
-pub fn member(l: ServerRecord) -> Member {
+/// Converts a record of the sources to a member of the server list.
+pub fn member(record: ServerRecord) -> Member {
     Member {
-        id: l.id,
-        host_port: l.host_port,
-        locality: l.locality,
-        flavor: l.flavor,
-        cell: l.cell,
-        phase: l.phase.name().into(),
-        size: l.size,
-        up_since_ms: l.up_since_ms,
+        id: record.id,
+        host_port: record.host_port,
+        locality: record.locality,
+        flavor: record.flavor,
+        cell: record.cell,
+        phase: record.phase.name().into(),
+        size: record.size,
+        up_since_ms: record.up_since_ms,
     }
 }
--- a/crates/mothpier/src/mutations.rs
+++ b/crates/mothpier/src/mutations.rs
@@ -1,91 +1,96 @@
-//! Mistakes planted on purpose: each is one that somebody could make here, and the simulation must find it. Without
-//! the feature `plants` the question is answered at compile time and nothing of them is in the program.
+//! Deliberate faults for mutation testing: each is a mistake that a developer could make, and the simulation
+//! or the soak test must detect it. Without the feature `plants`, [`mutation_active`] is constant and the
+//! faults are compiled out.
 
-/// A planted mistake.
+/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// A reset by the origin is taken for a connection that never came up: what may have run is sent again.
+    /// A reset by the origin is treated as a failure to connect, so that a call that may have run is sent
+    /// again.
     ResetNeverRan,
-    /// An answer to the client is written twice.
+    /// An answer is written to the client twice.
     DoubleAnswer,
-    /// A server that drains is read as one that is ready.
+    /// A draining server is treated as ready.
     DrainingIsReady,
-    /// What waits for a connection stays there when its server begins to drain.
+    /// Attempts that wait for a connection keep waiting when their server starts to drain.
     DrainKeepsWaiting,
-    /// A given-up attempt is taken off its connection's record, so that its late answer goes to the next.
+    /// An abandoned attempt is removed from its connection's queue, so that its late answer goes to the next
+    /// attempt.
     ShiftedAnswers,
-    /// The id of a request that is over stays taken.
+    /// The id of a finished request stays in use.
     LeakedId,
-    /// The time at which an attempt is given up is not set.
+    /// The time-out of an attempt is not set.
     LostGiveUp,
-    /// A refusal tells no time to come back.
+    /// A refusal does not say when to retry.
     BareRefusal,
-    /// What has not been sent when a request is over is sent all the same.
+    /// Attempts that are unsent when their request finishes are sent nevertheless.
     SentAfterAnswer,
-    /// What other nodes tell of the tier is dropped.
+    /// Messages of other nodes about the tier are dropped.
     TierUnheard,
-    /// After a reload the old discovery goes on being asked.
+    /// After a reload the node keeps using the old discovery address.
     ReloadForgotten,
-    /// After SIGTERM open requests are not waited for.
+    /// After SIGTERM the node does not wait for open requests.
     HastyStop,
-    /// The origin's 500 is read as if the call had never run.
+    /// Status 500 of the origin is treated as if the call had never run.
     ErrorNeverRan,
-    /// A cold server counts as warm: the time of its start is lost.
+    /// A cold server counts as warm, since its start time is lost.
     ColdUnknown,
-    /// An attempt behind `ASKING` that is reset counts as never run, as the redirection before it was.
+    /// An attempt after `ASKING` whose connection is reset counts as never run, like the redirected one
+    /// before it.
     AskNeverRan,
-    /// A server that a redirection names is taken for one that the list has ready.
+    /// A server that a redirection names is treated as one that the server list reports ready.
     RedirectIsNews,
-    /// Of two slot maps the one with the lower epoch counts.
+    /// Of two slot maps the one with the lower epoch is used.
     StaleMapWins,
-    /// What a server says that wants nothing new any more is dropped.
+    /// Answers of a server that no longer accepts new requests are dropped.
     LastWordLost,
-    /// What DNS still names is used, though the list took it away.
+    /// A server that DNS still names is used although the server list removed it.
     StaleRecord,
-    /// A DNS answer without boxes is taken for a fleet without boxes.
+    /// A DNS answer without servers is treated as a fleet without servers.
     EmptyAnswer,
-    /// A DNS answer with another id, from anybody, is believed.
+    /// A DNS answer with a wrong id, from any address, is accepted.
     ForgedAnswer,
-    /// Lifetimes of DNS answers are not kept: what came once counts for good.
+    /// DNS answers never expire.
     NoLifetimes,
-    /// A rumour goes on being told for ever.
+    /// Gossip messages are repeated without end.
     EndlessRumour,
-    /// Who is out by hand is forgotten when a whole list comes.
+    /// Servers drained by an operator are forgotten when a complete server list arrives.
     HandForgotten,
-    /// An emptied node keeps its clients' idle connections.
+    /// A drained node keeps its clients' idle connections.
     KeptIdle,
-    /// A value that its server cut is given as whole.
+    /// A value that its server truncated is delivered as complete.
     CutIsWhole,
-    /// A client that leaves is seen only where its commands are read; what waits is sent on for it all the same.
+    /// A disconnect is noticed only where commands are read; waiting attempts of the client are sent
+    /// nevertheless.
     SentAfterLeft,
-    /// An agent is not asked again before the call that it owes an answer to has had its time.
+    /// The discovery agent is not asked again before the unanswered call has timed out.
     SilentCallWaits,
-    /// The origin is told the time that the client stated, however much of it has passed.
+    /// The origin receives the client's original time limit, however much of it has passed.
     StaleTimeLeft,
-    /// The start of a cache server is aged by the wall clock.
+    /// The age of a cache server is computed with the wall clock.
     StartByWall,
-    /// The first failed accept ends the listener's loop.
+    /// The first failed `accept` ends the listener's loop.
     AcceptLoopEnds,
-    /// After the first lists nothing more is taken from discovery: as if no watch were opened again.
+    /// Only the first server lists are used, as if the watch were never reopened.
     ListHeardOnce,
-    /// A connection is closed without a look whether something has come on it.
+    /// A connection is closed without checking for unread data.
     CloseOverUnread,
-    /// An attempt that is given up counts as never sent.
+    /// An abandoned attempt counts as never sent.
     UnsentByGuess,
-    /// A client that stops in the middle of a command is kept.
+    /// A client that stops in the middle of a command is not disconnected.
     HalfCommandKept,
-    /// What was reset, late or failed counts as never run.
+    /// Attempts that were reset, timed out or failed count as never sent.
     RepeatsUnsafe,
-    /// One answer in a hundred is never given.
+    /// One answer in a hundred is never sent.
     LostAnswer,
-    /// A command of which the socket took a part counts as written.
+    /// A partially written command counts as written.
     HalfWriteIsWhole,
-    /// A request is given a second more than its client waits.
+    /// A request gets one second more than its client waits.
     TimeLeftGrows,
 }
 
 impl Mutation {
-    /// Those that only the soak of real processes plays.
+    /// The mutations that only the soak test with real processes runs.
     pub const OF_THE_SOAK: [Mutation; 10] = [
         Mutation::StartByWall,
         Mutation::AcceptLoopEnds,
@@ -99,7 +104,7 @@
         Mutation::TimeLeftGrows,
     ];
 
-    /// Those that the simulation plays.
+    /// The mutations that the simulation runs.
     pub const ALL: [Mutation; 29] = [
         Mutation::ResetNeverRan,
         Mutation::DoubleAnswer,
@@ -135,22 +140,22 @@
 
 #[cfg(feature = "plants")]
 thread_local! {
-    static PLANTED: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
+    static ACTIVE_MUTATION: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
 }
 
-/// Plants a mistake in all nodes of this thread, or none.
+/// Activates a mutation in all nodes of this thread, or none.
 #[cfg(feature = "plants")]
-pub fn activate_mutation(plant: Option<Mutation>) {
-    PLANTED.set(plant);
+pub fn activate_mutation(mutation: Option<Mutation>) {
+    ACTIVE_MUTATION.set(mutation);
 }
 
-/// Whether a mistake is planted.
+/// Returns whether a mutation is active.
 #[cfg(feature = "plants")]
-pub fn mutation_active(plant: Mutation) -> bool {
-    PLANTED.get() == Some(plant)
+pub fn mutation_active(mutation: Mutation) -> bool {
+    ACTIVE_MUTATION.get() == Some(mutation)
 }
 
-/// Whether a mistake is planted: never here.
+/// Returns `false`: mutations need the feature `plants`.
 #[cfg(not(feature = "plants"))]
 #[inline(always)]
 pub const fn mutation_active(_: Mutation) -> bool {
--- a/crates/mothpier/src/peers.rs
+++ b/crates/mothpier/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the nodes of the tier.
+//! Datagrams between the nodes of a tier.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,20 +12,21 @@
 use crate::messages::NodeInput;
 use crate::{Mutation, mutation_active};
 
-/// The longest message that may be sent.
-const MAX_MESSAGE: usize = 256;
+/// The size of the longest message, in bytes.
+const MAX_MESSAGE_BYTES: usize = 256;
 
-/// The way to the other nodes.
+/// Sends messages to the other nodes.
 pub struct Peers<N: Net> {
     net: N,
     socket: Rc<N::Socket>,
-    /// By their numbers.
+    /// The nodes' addresses, indexed by node number.
     addresses: Vec<SocketAddr>,
     all: Option<SocketAddr>,
 }
 
 impl<N: Net> Peers<N> {
-    /// Opens the socket and begins to listen. Messages of strangers and overlong ones are dropped.
+    /// Opens the socket and starts to receive. Messages from unknown addresses and messages that are too long
+    /// are dropped.
     pub async fn open(
         net: &N,
         (listen, shared): (SocketAddr, bool),
@@ -36,52 +37,53 @@
     ) -> std::io::Result<Self> {
         let socket = if shared { net.shared_socket(listen).await? } else { net.socket(listen).await? };
         let socket = Rc::new(socket);
-        let inbox = socket.clone();
+        let receiver = socket.clone();
         let numbers: HashMap<SocketAddr, usize> =
             addresses.iter().enumerate().rev().map(|(number, address)| (*address, number)).collect();
-        let machine = net.clone();
+        let peer_net = net.clone();
         net.spawn(async move {
-            let mut buffer = [0; MAX_MESSAGE + 1];
+            let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
             loop {
-                // An error here is that of an earlier datagram which found no listener.
-                let Ok((length, sender)) = inbox.recv_from(&mut buffer).await else { continue };
+                // An error here reports an earlier datagram that no process received.
+                let Ok((length, sender)) = receiver.recv_from(&mut buffer).await else { continue };
                 let Some(from) = numbers.get(&sender).copied() else { continue };
                 if let Some(tier) = tier.as_ref().filter(|_| Tier::is_message(&buffer[..length])) {
                     if mutation_active(Mutation::TierUnheard) {
                         continue;
                     }
-                    let unix_ms = machine.unix_time().as_millis() as u64;
-                    tier.borrow_mut().heard(unix_ms, from, &buffer[..length.min(MAX_MESSAGE)]);
-                } else if length <= MAX_MESSAGE {
+                    let unix_ms = peer_net.unix_time().as_millis() as u64;
+                    tier.borrow_mut().heard(unix_ms, from, &buffer[..length.min(MAX_MESSAGE_BYTES)]);
+                } else if length <= MAX_MESSAGE_BYTES {
                     let bytes = buffer[..length].to_vec();
-                    // One that finds the queue full is dropped, as it might have been on its way.
+                    // Dropped if the queue is full: senders must tolerate the loss of datagrams anyway.
                     let _ = events.try_send(NodeInput::Peer { from: from as u32, bytes });
                 }
-                machine.yield_now().await;
+                peer_net.yield_now().await;
             }
         });
         Ok(Peers { net: net.clone(), socket, addresses, all })
     }
 
-    /// Sends a message to all other nodes, each by its own address where there is none for all.
-    pub fn tell_all(&self, me: usize, bytes: &[u8]) {
+    /// Sends a message to all other nodes: to the shared address if there is one, otherwise to each node.
+    pub fn tell_all(&self, own_index: usize, bytes: &[u8]) {
         if self.all.is_some() {
             return self.tell(None, bytes);
         }
-        (0..self.addresses.len()).filter(|n| *n != me).for_each(|n| self.tell(Some(n as u32), bytes));
+        (0..self.addresses.len()).filter(|n| *n != own_index).for_each(|n| self.tell(Some(n as u32), bytes));
     }
 
-    /// Sends a message to one node, or to all; one that can't go at once is lost.
+    /// Sends a message to one node, or to the shared address for `None`. It is lost if it cannot be sent at
+    /// once.
     pub fn tell(&self, to: Option<u32>, bytes: &[u8]) {
         let address = match to {
             Some(number) => self.addresses.get(number as usize).copied(),
             None => self.all,
         };
         match address {
-            Some(address) if bytes.len() <= MAX_MESSAGE => {
+            Some(address) if bytes.len() <= MAX_MESSAGE_BYTES => {
                 let _ = self.socket.try_send_to(bytes, address);
             }
-            _ => self.net.log(format_args!("a message of {} bytes to {to:?} can't be sent", bytes.len())),
+            _ => self.net.log(format_args!("cannot send a message of {} bytes to {to:?}", bytes.len())),
         }
     }
 }
--- a/crates/mothpier/src/retry_open.rs
+++ b/crates/mothpier/src/retry_open.rs
@@ -1,17 +1,19 @@
-//! Listeners and sockets at a node's start: where the machine has none left for a moment, they are waited for.
+//! Retries the opening of listeners and sockets at a node's start if the system is short of resources for a
+//! moment.
 
 use std::io;
 use std::time::Duration;
 
 use mothpier_net::Net;
 
-/// For how long an address is tried again.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Between two tries.
-const PAUSE: Duration = Duration::from_millis(50);
+/// How long opening an address is retried.
+const RETRY_LIMIT: Duration = Duration::from_secs(5);
+/// The pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Errors that pass by themselves: what the machine has is used up, or its network is not up yet.
-const PASSING: [i32; 6] = [
+/// Linux error numbers that may go away without intervention: resources are used up, or the network is not up
+/// yet.
+const TRANSIENT_ERRORS: [i32; 6] = [
     12,  // ENOMEM
     23,  // ENFILE
     24,  // EMFILE
@@ -20,26 +22,26 @@
     105, // ENOBUFS
 ];
 
-fn passes(error: &io::Error) -> bool {
+fn is_transient(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Interrupted
-        || error.raw_os_error().is_some_and(|number| PASSING.contains(&number))
+        || error.raw_os_error().is_some_and(|number| TRANSIENT_ERRORS.contains(&number))
 }
 
-/// Opens something, again and again while that fails for a reason that passes by itself.
+/// Calls `open` until it succeeds, fails with an error that is not transient, or `RETRY_LIMIT` has passed.
 ///
 /// # Errors
 ///
-/// The first error that does not pass, or the last one.
+/// The first error that is not transient, or the last error when the time is up.
 pub async fn retry_open<N: Net, T>(net: &N, open: impl AsyncFn() -> io::Result<T>) -> io::Result<T> {
-    let until = net.now() + PATIENCE;
-    let mut said = false;
+    let deadline = net.now() + RETRY_LIMIT;
+    let mut logged = false;
     loop {
         match open().await {
-            Err(e) if passes(&e) && net.now() < until => {
-                if !std::mem::replace(&mut said, true) {
-                    net.log(format_args!("an address can't be opened: {e}; tried again for {PATIENCE:?}"));
+            Err(e) if is_transient(&e) && net.now() < deadline => {
+                if !std::mem::replace(&mut logged, true) {
+                    net.log(format_args!("cannot open an address: {e}; retrying for {RETRY_LIMIT:?}"));
                 }
-                net.sleep(PAUSE).await;
+                net.sleep(RETRY_PAUSE).await;
             }
             opened => return opened,
         }
--- a/crates/mothpier/tests/cluster.rs
+++ b/crates/mothpier/tests/cluster.rs
@@ -242,8 +242,8 @@
 fn a_bad_file_of_nodes_is_refused_at_the_start_with_its_cause() {
     let discovery = Discovery::start("");
     for (n, (text, cause)) in [
-        ("{\"nodes\":[]}", "0 are named where the settings have 1 balancers"),
-        ("{\"nodes\":[\"pb7\"]}", "\"pb7\" is no ADDRESS:PORT"),
+        ("{\"nodes\":[]}", "0 listed, but the settings have 1 balancers"),
+        ("{\"nodes\":[\"pb7\"]}", "\"pb7\" is not a valid ADDRESS:PORT"),
         ("{\"nodes\":[\"0.0.0.0:1\"]}", "0.0.0.0:1 is no address that clients can connect to"),
         ("{\"nodes\":[\"127.0.0.1:1\"],\"more\":1}", "unknown field `more`"),
         ("{", "unreadable"),
--- a/crates/mothpier/tests/operations.rs
+++ b/crates/mothpier/tests/operations.rs
@@ -102,7 +102,7 @@
     let mut few = node_command("fewsockets", discovery.address, 40, "");
     let output = few.env("ROUTER_OPERATOR", "127.0.0.1:0").output().unwrap();
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains("40 are too few beside the operators' door"), "{said}");
+    assert!(said.contains("40 are too few for a node with an admin listener"), "{said}");
 }
 
 #[test]
