--- a/crates/mothpier-coordination-client/src/session.rs
+++ b/crates/mothpier-coordination-client/src/session.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mothpier_coordination::fleet::ask::{FleetAnswer, FleetAsk, FleetRefusal};
-use mothpier_coordination::{Act, Answer, Command, Fence, Hold, Refusal, Request};
+use mothpier_coordination::fleet::messages::{FleetCommand, FleetRefusal, FleetResponse};
+use mothpier_coordination::{Answer, Command, Fence, FencedAction, LeaseValidity, Refusal, Request};
 use mothpier_net::{Net, Task};
 use tokio::sync::Notify;
 
@@ -58,7 +58,7 @@
     /// Its name.
     pub name: String,
     ttl_ms: u64,
-    hold: RefCell<Hold>,
+    hold: RefCell<LeaseValidity>,
     number: Cell<u64>,
     ended: RefCell<Option<String>>,
     /// Orders that were given, and those that nobody has answered: their number, and until when they may begin.
@@ -94,7 +94,7 @@
             client: client.clone(),
             name: name.clone(),
             ttl_ms,
-            hold: RefCell::new(Hold::new(ttl_ms)),
+            hold: RefCell::new(LeaseValidity::new(ttl_ms)),
             number: Cell::new(0),
             ended: RefCell::default(),
             orders: Cell::new(0),
@@ -166,7 +166,7 @@
                     other => format!("an answer to something else: {other:?}"),
                 };
                 *self.ended.borrow_mut() = Some(why);
-                *self.hold.borrow_mut() = Hold::new(self.ttl_ms);
+                *self.hold.borrow_mut() = LeaseValidity::new(self.ttl_ms);
                 self.changed.notify_waiters();
                 return false;
             }
@@ -243,7 +243,7 @@
     /// # Errors
     ///
     /// The session is over.
-    pub async fn fleet(&self, what: FleetAsk) -> Result<Result<FleetAnswer, FleetRefusal>, Lost> {
+    pub async fn fleet(&self, what: FleetCommand) -> Result<Result<FleetResponse, FleetRefusal>, Lost> {
         match self.ask(Request::Fleet { what }).await? {
             Answer::Fleet { answer } => Ok(Ok(answer)),
             Answer::Refused { why: Refusal::Fleet { fleet } } => Ok(Err(fleet)),
@@ -252,7 +252,7 @@
     }
 
     /// An act was answered, whatever the answer: it is not on its way any more.
-    pub fn answered(&self, act: &Act) {
+    pub fn answered(&self, act: &FencedAction) {
         self.out.borrow_mut().retain(|(number, _)| *number != act.number);
     }
 
@@ -281,13 +281,13 @@
     /// # Errors
     ///
     /// The session is over.
-    pub fn act(&self, granted: &Granted, told: Acting) -> Result<Act, Lost> {
+    pub fn act(&self, granted: &Granted, told: Acting) -> Result<FencedAction, Lost> {
         let left = self.left()?;
         let until = self.clock() + left.as_millis() as u64;
         let number = self.orders.get() + 1;
         self.orders.set(number);
         self.out.borrow_mut().push((number, until));
-        Ok(Act {
+        Ok(FencedAction {
             lease: granted.lease.clone(),
             fence: granted.fence,
             clock: told.clock,
@@ -302,7 +302,7 @@
         if let Some(task) = self.renewing.borrow_mut().take() {
             task.abort();
         }
-        *self.hold.borrow_mut() = Hold::new(self.ttl_ms);
+        *self.hold.borrow_mut() = LeaseValidity::new(self.ttl_ms);
         let until = self.client.net().now() + within;
         let _ = self.client.command(&Command::Close { session: self.name.clone() }, until).await;
     }
--- a/crates/mothpier-coordination/examples/fleet_cost.rs
+++ b/crates/mothpier-coordination/examples/fleet_cost.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use mothpier_coordination::fleet::Fleet;
-use mothpier_coordination::fleet::ask::{AuditNote, FleetAsk, Kind, Listed, Stage, Subject, Then};
+use mothpier_coordination::fleet::messages::{AuditNote, FleetCommand, Kind, Listed, Stage, Subject, Then};
 use mothpier_coordination::wire::Call;
 use mothpier_coordination::{Command, Request};
 use rustix::time::{ClockId, clock_gettime};
@@ -45,7 +45,7 @@
 
 /// One node's reports, and the bytes of a command as they go over the wire.
 mod reports {
-    use mothpier_coordination::fleet::ask::{FleetAsk, Listed};
+    use mothpier_coordination::fleet::messages::{FleetCommand, Listed};
     use mothpier_coordination::fleet::reporter::{ReadyList, Reporter, ready_list};
 
     pub type List = ReadyList;
@@ -61,13 +61,13 @@
 
     impl Node {
         /// The report that it sends, with a new list or without; it is taken.
-        pub fn report(&mut self, refused_percent: u8, list: Option<&List>) -> FleetAsk {
+        pub fn report(&mut self, refused_percent: u8, list: Option<&List>) -> FleetCommand {
             if let Some(list) = list {
                 self.reporter.set_servers(list.clone());
             }
             let report = self.reporter.next(true, refused_percent).expect("something is new");
             self.reporter.accepted(report.number);
-            FleetAsk::NumberedReport { report }
+            FleetCommand::NumberedReport { report }
         }
     }
 }
@@ -85,7 +85,7 @@
         let mut bench = Bench { fleet, nodes };
         let list = reports::list((0..servers).map(line));
         for i in 0..bench.nodes.len() {
-            let join = FleetAsk::Join { node: node(i), zone: format!("zone-{:03}", i % 110) };
+            let join = FleetCommand::Join { node: node(i), zone: format!("zone-{:03}", i % 110) };
             bench.ask(i, &join);
             let report = bench.nodes[i].report(0, Some(&list));
             bench.ask(i, &report);
@@ -93,7 +93,7 @@
         bench
     }
 
-    fn ask(&mut self, i: usize, ask: &FleetAsk) -> Duration {
+    fn ask(&mut self, i: usize, ask: &FleetCommand) -> Duration {
         let session = session(i);
         let began = cpu();
         let answer = self.fleet.ask(&session, ask, &mut Vec::new());
@@ -116,7 +116,7 @@
     /// Staff want a cache server out; it waits for a place where there is none.
     fn drain(&mut self, subject: &Subject) {
         let note = AuditNote { by: "staff".into(), reason: "a measurement".into(), at_ms: 0 };
-        let drain = FleetAsk::Drain {
+        let drain = FleetCommand::Drain {
             subject: subject.clone(),
             note,
             for_ms: None,
@@ -134,7 +134,7 @@
     /// All nodes confirm a drain: the time that takes.
     fn all_confirm(&mut self, subject: &Subject) -> Duration {
         let (drain, turn) = self.fleet.drain_of(subject).map(|(n, d)| (n, d.turn)).expect("a drain");
-        let confirm = FleetAsk::Confirm { drain, turn };
+        let confirm = FleetCommand::Confirm { drain, turn };
         let took = (0..self.nodes.len()).map(|i| self.ask(i, &confirm)).sum();
         assert_eq!(self.stage(subject), Some(Stage::Out), "all have confirmed");
         took
@@ -142,7 +142,7 @@
 }
 
 /// Bytes of the call that carries a command.
-fn wire_bytes(i: usize, ask: &FleetAsk) -> usize {
+fn wire_bytes(i: usize, ask: &FleetCommand) -> usize {
     let request = Request::Fleet { what: ask.clone() };
     let command = Command::Ask { session: session(i), number: 1_000, request };
     serde_json::to_vec(&Call { cluster: "manila".into(), command }).expect("it can be written").len()
--- a/crates/mothpier-coordination/src/command.rs
+++ b/crates/mothpier-coordination/src/command.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::ask::{FleetAnswer, FleetAsk, FleetChange, FleetRefusal};
+use crate::fleet::messages::{FleetChange, FleetCommand, FleetRefusal, FleetResponse};
 use crate::fleet::timers::Timer;
 
 /// Version of commands in the log and of the state in snapshots. 2 brought the fleet, 3 its numbered reports; all before are
@@ -103,7 +103,7 @@
     /// Something of the fleet: its nodes, its drains.
     Fleet {
         /// What.
-        what: FleetAsk,
+        what: FleetCommand,
     },
 }
 
@@ -144,7 +144,7 @@
     /// Of the fleet.
     Fleet {
         /// What came of it.
-        answer: FleetAnswer,
+        answer: FleetResponse,
     },
     /// Nothing has changed.
     Refused {
--- a/crates/mothpier-coordination/src/obey.rs
+++ b/crates/mothpier-coordination/src/fencing.rs
@@ -14,7 +14,7 @@
 /// An order that a holder gives.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Act {
+pub struct FencedAction {
     /// The lease in whose name.
     pub lease: String,
     /// The number of its grant.
@@ -32,14 +32,14 @@
 /// The lowest fences that may act.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Floors {
+pub struct FenceFloors {
     /// Of leases that nobody holds: the next grant has at least this one.
     pub others: Fence,
     /// Of leases that are held.
     pub held: BTreeMap<String, Fence>,
 }
 
-impl Floors {
+impl FenceFloors {
     fn of(&self, lease: &str) -> Fence {
         self.held.get(lease).copied().unwrap_or(self.others)
     }
@@ -47,7 +47,7 @@
 
 /// Why an act is not done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Disobeyed {
+pub enum FenceError {
     /// It has begun from nothing and was not told the fences yet.
     KnowsNothing,
     /// Another holder came later.
@@ -67,34 +67,34 @@
     BadName,
 }
 
-impl std::fmt::Display for Disobeyed {
+impl std::fmt::Display for FenceError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Disobeyed::KnowsNothing => write!(f, "the fences are not known yet: nobody is obeyed"),
-            Disobeyed::OldFence { least } => write!(f, "an old fence: {least} or higher is obeyed"),
-            Disobeyed::TooLate => write!(f, "the time in which this could begin is over"),
-            Disobeyed::OtherClock => write!(f, "the time is of another clock: ask for this one first"),
-            Disobeyed::Done => write!(f, "this order has been done"),
-            Disobeyed::TooMany => write!(f, "more orders are within their time than are remembered"),
-            Disobeyed::BadName => write!(f, "no lease can have this name"),
+            FenceError::KnowsNothing => write!(f, "the fences are not known yet: nobody is obeyed"),
+            FenceError::OldFence { least } => write!(f, "an old fence: {least} or higher is obeyed"),
+            FenceError::TooLate => write!(f, "the time in which this could begin is over"),
+            FenceError::OtherClock => write!(f, "the time is of another clock: ask for this one first"),
+            FenceError::Done => write!(f, "this order has been done"),
+            FenceError::TooMany => write!(f, "more orders are within their time than are remembered"),
+            FenceError::BadName => write!(f, "no lease can have this name"),
         }
     }
 }
 
 /// One that obeys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
-pub struct Obeyer {
+pub struct FenceGuard {
     /// The name of its clock, new with every process.
     clock: String,
-    floors: Option<Floors>,
+    floors: Option<FenceFloors>,
     /// Orders that were done and could come again: their time, fence and number.
     done: BTreeSet<(u64, Fence, u64)>,
 }
 
-impl Obeyer {
+impl FenceGuard {
     /// One that begins from nothing.
     pub fn new(clock: String) -> Self {
-        Obeyer { clock, floors: None, done: BTreeSet::new() }
+        FenceGuard { clock, floors: None, done: BTreeSet::new() }
     }
 
     /// The name of its clock.
@@ -108,17 +108,17 @@
     }
 
     /// Takes over what a quorum told, or the process before it. Nothing that it has seen is lowered.
-    pub fn learn(&mut self, told: Floors) {
+    pub fn learn(&mut self, told: FenceFloors) {
         let Some(known) = &self.floors else { return self.floors = Some(told) };
         // A lease that only one side names is bounded below by what the other says of all others.
         let names = told.held.keys().chain(known.held.keys());
         let held = names.map(|lease| (lease.clone(), told.of(lease).max(known.of(lease)))).collect();
-        self.floors = Some(Floors { others: told.others.max(known.others), held });
+        self.floors = Some(FenceFloors { others: told.others.max(known.others), held });
         self.forget();
     }
 
     /// What the next process of the same machine has to know.
-    pub fn handed_over(&self) -> Option<&Floors> {
+    pub fn handed_over(&self) -> Option<&FenceFloors> {
         self.floors.as_ref()
     }
 
@@ -127,11 +127,11 @@
     /// # Errors
     ///
     /// Why it can't begin.
-    pub fn in_time(&self, act: &Act, now: u64) -> Result<(), Disobeyed> {
+    pub fn in_time(&self, act: &FencedAction, now: u64) -> Result<(), FenceError> {
         if act.clock != self.clock {
-            return Err(Disobeyed::OtherClock);
+            return Err(FenceError::OtherClock);
         }
-        if now >= act.not_after_ms { Err(Disobeyed::TooLate) } else { Ok(()) }
+        if now >= act.not_after_ms { Err(FenceError::TooLate) } else { Ok(()) }
     }
 
     /// Whether the act's holder is the latest that it has heard of; it is from now on.
@@ -139,14 +139,14 @@
     /// # Errors
     ///
     /// Why it is not obeyed.
-    pub fn fenced(&mut self, act: &Act) -> Result<(), Disobeyed> {
+    pub fn fenced(&mut self, act: &FencedAction) -> Result<(), FenceError> {
         if !limits::is_name(&act.lease) {
-            return Err(Disobeyed::BadName);
+            return Err(FenceError::BadName);
         }
-        let floors = self.floors.as_mut().ok_or(Disobeyed::KnowsNothing)?;
+        let floors = self.floors.as_mut().ok_or(FenceError::KnowsNothing)?;
         let least = floors.of(&act.lease);
         if act.fence < least {
-            return Err(Disobeyed::OldFence { least });
+            return Err(FenceError::OldFence { least });
         }
         floors.held.insert(act.lease.clone(), act.fence);
         self.forget();
@@ -158,7 +158,7 @@
     /// # Errors
     ///
     /// Why not.
-    pub fn obey(&mut self, act: &Act, now: u64) -> Result<(), Disobeyed> {
+    pub fn obey(&mut self, act: &FencedAction, now: u64) -> Result<(), FenceError> {
         self.in_time(act, now)?;
         // One that is refused is not done, and may come again once more is known.
         self.fenced(act)?;
@@ -170,16 +170,16 @@
     /// # Errors
     ///
     /// It was, or that can't be remembered.
-    pub fn once(&mut self, act: &Act, now: u64) -> Result<(), Disobeyed> {
+    pub fn once(&mut self, act: &FencedAction, now: u64) -> Result<(), FenceError> {
         // What could come no more in its time need not be known.
         self.done = self.done.split_off(&(now + 1, 0, 0));
         if self.done.len() >= MOST_DONE {
-            return Err(Disobeyed::TooMany);
+            return Err(FenceError::TooMany);
         }
         if self.done.insert((act.not_after_ms, act.fence, act.number)) {
             Ok(())
         } else {
-            Err(Disobeyed::Done)
+            Err(FenceError::Done)
         }
     }
 
--- a/crates/mothpier-coordination/src/fleet/drains.rs
+++ b/crates/mothpier-coordination/src/fleet/drains.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::ask::{AuditNote, FleetAnswer, FleetChange, FleetRefusal, Stage, Subject, Then, Told};
+use super::messages::{AuditNote, FleetChange, FleetRefusal, FleetResponse, Stage, Subject, Then, Told};
 use super::{Answered, Condition, DRAINS, Drain, Fleet, LONGEST_MS, bad};
 
 impl Fleet {
@@ -55,7 +55,7 @@
             if stage != Stage::Asked && stage != Stage::Out {
                 self.to(number, Stage::Leaving, changes);
             }
-            return Ok(FleetAnswer::Drain { number, stage });
+            return Ok(FleetResponse::Drain { number, stage });
         }
         if self.drains.len() >= DRAINS {
             return Err(bad("more drains than are kept are under way"));
@@ -66,7 +66,7 @@
         self.happened(Some(subject.clone()), how, Some(note.clone()));
         let number = self.number();
         self.put_drain(number, fresh);
-        Ok(FleetAnswer::Drain { number, stage: Stage::Asked })
+        Ok(FleetResponse::Drain { number, stage: Stage::Asked })
     }
 
     /// It is to come back.
@@ -96,7 +96,7 @@
             }
             Stage::Returning | Stage::Cold => {}
         }
-        Ok(FleetAnswer::Drain { number, stage })
+        Ok(FleetResponse::Drain { number, stage })
     }
 
     /// It takes its place among those that are to come back.
@@ -118,7 +118,7 @@
                 self.confirmed_in_index(number, true);
             }
         }
-        Ok(FleetAnswer::Done)
+        Ok(FleetResponse::Done)
     }
 
     /// A drain is this one from now on.
--- a/crates/mothpier-coordination/src/fleet/due.rs
+++ b/crates/mothpier-coordination/src/fleet/due.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::ask::{FleetChange, Stage, Then};
+use super::messages::{FleetChange, Stage, Then};
 use super::timers::Timer;
 use super::{Drain, Fleet};
 
--- a/crates/mothpier-coordination/src/fleet/follow.rs
+++ b/crates/mothpier-coordination/src/fleet/follow.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::ask::{FleetChange, Kind, Stage, Subject, Told};
+use super::messages::{FleetChange, Kind, Stage, Subject, Told};
 
 /// What a node has in effect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
--- a/crates/mothpier-coordination/src/fleet/halts.rs
+++ b/crates/mothpier-coordination/src/fleet/halts.rs
@@ -1,6 +1,6 @@
 //! Halts: of staff, and of the fleet itself.
 
-use super::ask::{AuditNote, FleetAnswer, FleetChange, FleetRefusal, Kind, Stage};
+use super::messages::{AuditNote, FleetChange, FleetRefusal, FleetResponse, Kind, Stage};
 use super::{Answered, Condition, Fleet, Halt, NAMED};
 
 impl Fleet {
@@ -41,7 +41,7 @@
         }
         self.happened(None, "resumed", Some(note.clone()));
         changes.push(FleetChange::Halted { halted: false });
-        Ok(FleetAnswer::Done)
+        Ok(FleetResponse::Done)
     }
 
     /// Why the fleet should go on with nothing: more are missing that nobody asked out than the limits allow, or too much is
--- a/crates/mothpier-coordination/src/fleet/index.rs
+++ b/crates/mothpier-coordination/src/fleet/index.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-use super::ask::{Kind, Stage, Subject};
+use super::messages::{Kind, Stage, Subject};
 use super::{Condition, Drain, Fleet, Node};
 use crate::command::SessionId;
 
--- a/crates/mothpier-coordination/src/fleet/membership.rs
+++ b/crates/mothpier-coordination/src/fleet/membership.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::ask::{AuditNote, FleetAnswer, FleetChange, FleetRefusal, Kind, Subject};
+use super::messages::{AuditNote, FleetChange, FleetRefusal, FleetResponse, Kind, Subject};
 use super::{Answered, Fleet, NODES, Node, bad};
 use crate::limits::is_name;
 
@@ -14,7 +14,7 @@
         }
         if let Ok(own) = self.node_of(session) {
             return if own == name {
-                Ok(FleetAnswer::Done)
+                Ok(FleetResponse::Done)
             } else {
                 Err(bad("this session is another node's"))
             };
@@ -40,7 +40,7 @@
         }
         self.node_into_index(name);
         self.update_place(&Subject::node(name));
-        Ok(FleetAnswer::Done)
+        Ok(FleetResponse::Done)
     }
 
     /// The node whose process has this session.
@@ -94,7 +94,7 @@
         if let Some((number, _)) = self.drain_of(subject) {
             self.ended(number, changes);
         }
-        Ok(FleetAnswer::Done)
+        Ok(FleetResponse::Done)
     }
 
     fn forget_node(&mut self, name: &str) {
--- a/crates/mothpier-coordination/src/fleet/ask.rs
+++ b/crates/mothpier-coordination/src/fleet/messages.rs
@@ -155,7 +155,7 @@
 /// What is asked.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "fleet", rename_all = "snake_case", deny_unknown_fields)]
-pub enum FleetAsk {
+pub enum FleetCommand {
     /// A node is there, by the session that asks; it takes the place of whatever process had its name.
     Join {
         /// Its name.
@@ -237,7 +237,7 @@
 /// What came of it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "fleet", rename_all = "snake_case", deny_unknown_fields)]
-pub enum FleetAnswer {
+pub enum FleetResponse {
     /// It is so.
     Done,
     /// There is a drain.
--- a/crates/mothpier-coordination/src/fleet/mod.rs
+++ b/crates/mothpier-coordination/src/fleet/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! | module | what it holds |
 //! | --- | --- |
-//! | `ask` | commands, answers and refusals, as they stand in the log and on the wire |
+//! | `messages` | commands, answers and refusals, as they stand in the log and on the wire |
 //! | `limits` | how much may be out, as staff state it |
 //! | `membership` | nodes that join, end and are forgotten |
 //! | `reports` | nodes' reports: whole lists and deltas |
@@ -16,7 +16,6 @@
 //! | `stored` | a fleet as snapshots and answers hold it |
 //! | `follow`, `reporter` | a node's part: what it keeps out and confirms, and what it reports |
 
-pub mod ask;
 mod drains;
 mod due;
 pub mod follow;
@@ -24,6 +23,7 @@
 mod index;
 pub mod limits;
 mod membership;
+pub mod messages;
 mod progress;
 pub mod reporter;
 mod reports;
@@ -35,10 +35,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use self::ask::{AuditNote, FleetAnswer, FleetAsk, FleetChange, FleetRefusal, Stage, Subject, Then};
 use self::drains::Wanted;
 use self::index::{Derived, Index};
 use self::limits::Limits;
+use self::messages::{
+    AuditNote, FleetChange, FleetCommand, FleetRefusal, FleetResponse, Stage, Subject, Then,
+};
 use crate::command::SessionId;
 use crate::limits::NAME;
 
@@ -226,7 +228,7 @@
     *number == 0
 }
 
-type Answered = Result<FleetAnswer, FleetRefusal>;
+type Answered = Result<FleetResponse, FleetRefusal>;
 
 fn bad(what: &str) -> FleetRefusal {
     FleetRefusal::Bad { what: what.into() }
@@ -257,49 +259,49 @@
     }
 
     /// Takes what a session asks, and all that follows from it.
-    pub fn ask(&mut self, session: &str, ask: &FleetAsk, changes: &mut Vec<FleetChange>) -> Answered {
+    pub fn ask(&mut self, session: &str, ask: &FleetCommand, changes: &mut Vec<FleetChange>) -> Answered {
         let answer = self.take(session, ask, changes)?;
         self.go_on(changes);
         self.check_index();
         Ok(match answer {
             // What followed may have carried it further.
-            FleetAnswer::Drain { number, .. } => {
+            FleetResponse::Drain { number, .. } => {
                 let stage = self.drains.get(&number).map_or(Stage::Asked, |d| d.stage);
-                FleetAnswer::Drain { number, stage }
+                FleetResponse::Drain { number, stage }
             }
             done => done,
         })
     }
 
-    fn take(&mut self, session: &str, ask: &FleetAsk, changes: &mut Vec<FleetChange>) -> Answered {
+    fn take(&mut self, session: &str, ask: &FleetCommand, changes: &mut Vec<FleetChange>) -> Answered {
         match ask {
-            FleetAsk::Join { node, zone } => self.join(session, node, zone),
-            FleetAsk::Report { report } => self.report(session, report),
-            FleetAsk::NumberedReport { report } => self.numbered_report(session, report),
-            FleetAsk::Confirm { drain, turn } => self.confirm(session, *drain, *turn),
-            FleetAsk::Drain { subject, note, for_ms, then, wait, force } => {
+            FleetCommand::Join { node, zone } => self.join(session, node, zone),
+            FleetCommand::Report { report } => self.report(session, report),
+            FleetCommand::NumberedReport { report } => self.numbered_report(session, report),
+            FleetCommand::Confirm { drain, turn } => self.confirm(session, *drain, *turn),
+            FleetCommand::Drain { subject, note, for_ms, then, wait, force } => {
                 self.said(note)?;
                 let wanted = Wanted { for_ms: *for_ms, then: *then, wait: *wait, force: *force };
                 self.drain(subject, note, wanted, changes)
             }
-            FleetAsk::Back { subject, note } => {
+            FleetCommand::Back { subject, note } => {
                 self.said(note)?;
                 self.back(subject, note, changes)
             }
-            FleetAsk::Halt { note } => {
+            FleetCommand::Halt { note } => {
                 self.said(note)?;
                 self.stop(note.clone(), false, changes);
-                Ok(FleetAnswer::Done)
+                Ok(FleetResponse::Done)
             }
-            FleetAsk::Resume { note } => {
+            FleetCommand::Resume { note } => {
                 self.said(note)?;
                 self.resume(note, changes)
             }
-            FleetAsk::Forget { subject, note } => {
+            FleetCommand::Forget { subject, note } => {
                 self.said(note)?;
                 self.forget(subject, note, changes)
             }
-            FleetAsk::Limits { limits, note } => {
+            FleetCommand::Limits { limits, note } => {
                 self.said(note)?;
                 self.set_limits(limits, note)
             }
@@ -312,7 +314,7 @@
         }
         self.limits = limits.clone();
         self.happened(None, "limits stated", Some(note.clone()));
-        Ok(FleetAnswer::Done)
+        Ok(FleetResponse::Done)
     }
 
     /// Compares the indexes with the plain computation where that is cheap. A model that leaves out their upkeep is told by
--- a/crates/mothpier-coordination/src/fleet/progress.rs
+++ b/crates/mothpier-coordination/src/fleet/progress.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::ask::{AuditNote, FleetChange, Kind, Stage};
+use super::messages::{AuditNote, FleetChange, Kind, Stage};
 use super::{Condition, Drain, Fleet};
 
 impl Fleet {
--- a/crates/mothpier-coordination/src/fleet/reporter.rs
+++ b/crates/mothpier-coordination/src/fleet/reporter.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::ask::{Listed, NumberedReport, ReportedServers};
+use super::messages::{Listed, NumberedReport, ReportedServers};
 
 /// The cache servers that a node lists as ready, by id. Shared: many nodes of one process may hold the same list.
 pub type ReadyList = Arc<BTreeMap<String, Listed>>;
@@ -40,7 +40,7 @@
 /// Makes the reports of one session of a node, one at a time.
 ///
 /// ```
-/// use mothpier_coordination::fleet::ask::{Listed, ReportedServers};
+/// use mothpier_coordination::fleet::messages::{Listed, ReportedServers};
 /// use mothpier_coordination::fleet::reporter::{Reporter, ready_list};
 ///
 /// let line = |id: &str| Listed { id: id.into(), zone: "a".into(), up_since_ms: 1 };
--- a/crates/mothpier-coordination/src/fleet/reports.rs
+++ b/crates/mothpier-coordination/src/fleet/reports.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use super::ask::{FleetAnswer, FleetRefusal, Listed, NumberedReport, Report, ReportedServers, Subject};
+use super::messages::{
+    FleetRefusal, FleetResponse, Listed, NumberedReport, Report, ReportedServers, Subject,
+};
 use super::{Answered, Condition, Fleet, Node, SERVERS, Server, bad};
 use crate::limits::NAME;
 
@@ -27,7 +29,7 @@
             self.set_report(&name, 0);
         }
         self.set_readiness(&name, report.ready, report.refused_percent.min(100));
-        Ok(FleetAnswer::Done)
+        Ok(FleetResponse::Done)
     }
 
     /// A report with a number.
@@ -39,7 +41,7 @@
         }
         match self.sequence(node, report) {
             Sequence::Next => {}
-            Sequence::Repeated => return Ok(FleetAnswer::Done),
+            Sequence::Repeated => return Ok(FleetResponse::Done),
             Sequence::UnknownBase => return Err(FleetRefusal::UnknownBase { last: node.report }),
         }
         match &report.servers {
@@ -55,7 +57,7 @@
         }
         self.set_report(&name, report.number);
         self.set_readiness(&name, report.ready, report.refused_percent.min(100));
-        Ok(FleetAnswer::Done)
+        Ok(FleetResponse::Done)
     }
 
     fn sequence(&self, node: &Node, report: &NumberedReport) -> Sequence {
--- a/crates/mothpier-coordination/src/fleet/rule.rs
+++ b/crates/mothpier-coordination/src/fleet/rule.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::ask::{Blocked, Kind, Stage, Subject};
 use super::index::{Index, Place};
 use super::limits::Bound;
+use super::messages::{Blocked, Kind, Stage, Subject};
 use super::{Condition, Drain, Fleet, NAMED, Node};
 
 impl Fleet {
--- a/crates/mothpier-coordination/src/hold.rs
+++ b/crates/mothpier-coordination/src/lease_validity.rs
@@ -15,23 +15,23 @@
 
 /// A session's time as its client reckons it, in ms of the client's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Hold {
+pub struct LeaseValidity {
     ttl_ms: u64,
     kept_off_ms: u64,
     /// When the last renewal that was confirmed had been asked for.
     asked: Option<u64>,
 }
 
-impl Hold {
+impl LeaseValidity {
     /// A session of a time that nobody has confirmed yet.
     pub fn new(ttl_ms: u64) -> Self {
         let margin = (ttl_ms / MARGIN).max(LEAST_MARGIN_MS);
-        Hold::keeping_off(ttl_ms, (ttl_ms * KEPT_OFF).div_ceil(1000) + margin)
+        LeaseValidity::keeping_off(ttl_ms, (ttl_ms * KEPT_OFF).div_ceil(1000) + margin)
     }
 
     /// One that keeps off its end by a span of its own.
     pub fn keeping_off(ttl_ms: u64, kept_off_ms: u64) -> Self {
-        Hold { ttl_ms, kept_off_ms, asked: None }
+        LeaseValidity { ttl_ms, kept_off_ms, asked: None }
     }
 
     /// Opening or renewing, asked for at a time, was confirmed.
--- a/crates/mothpier-coordination/src/agreed.rs
+++ b/crates/mothpier-coordination/src/replicated_state.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::command::{Answer, Change, Command, FORMAT, Fence, Refusal, Request, Revision, SessionId};
+use crate::fencing::FenceFloors;
 use crate::fleet::Fleet;
-use crate::fleet::ask::{FleetAsk, FleetChange};
+use crate::fleet::messages::{FleetChange, FleetCommand};
 use crate::fleet::timers::Timer;
 use crate::limits;
-use crate::obey::Floors;
 
 /// A client that lives.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
 /// All that is agreed on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Agreed {
+pub struct ReplicatedState {
     format: u32,
     /// The number of the last grant of any lease.
     fences: Fence,
@@ -100,9 +100,9 @@
     }
 }
 
-impl Default for Agreed {
+impl Default for ReplicatedState {
     fn default() -> Self {
-        Agreed {
+        ReplicatedState {
             format: FORMAT,
             fences: 0,
             revision: 0,
@@ -127,7 +127,7 @@
     refused(Refusal::OverLimit { limit: limit.into(), most: most as u64 })
 }
 
-impl Agreed {
+impl ReplicatedState {
     /// Takes the next command of the log.
     pub fn apply(&mut self, command: &Command) -> Answer {
         let answer = match command {
@@ -157,10 +157,10 @@
         let mut changes = Vec::new();
         self.fleet.due(timer, &mut changes);
         self.fleet_changed(changes);
-        Answer::Fleet { answer: crate::fleet::ask::FleetAnswer::Done }
+        Answer::Fleet { answer: crate::fleet::messages::FleetResponse::Done }
     }
 
-    fn of_fleet(&mut self, session: &str, what: &FleetAsk) -> Answer {
+    fn of_fleet(&mut self, session: &str, what: &FleetCommand) -> Answer {
         let mut changes = Vec::new();
         let answer = self.fleet.ask(session, what, &mut changes);
         self.fleet_changed(changes);
@@ -380,7 +380,7 @@
     /// The state of a new fleet with these coordinators.
     pub fn founded(members: BTreeMap<u64, String>) -> Self {
         let last_member = members.keys().next_back().copied().unwrap_or_default();
-        Agreed { members, last_member, ..Agreed::default() }
+        ReplicatedState { members, last_member, ..ReplicatedState::default() }
     }
 
     /// A coordinator is a member from now on, or no more.
@@ -443,9 +443,9 @@
     }
 
     /// What one that obeys has to know before it obeys anybody.
-    pub fn floors(&self) -> Floors {
+    pub fn floors(&self) -> FenceFloors {
         let held = self.leases.iter().map(|(name, lease)| (name.clone(), lease.fence)).collect();
-        Floors { others: self.fences + 1, held }
+        FenceFloors { others: self.fences + 1, held }
     }
 
     /// The state as a snapshot holds it.
@@ -469,7 +469,7 @@
         if !(1..=FORMAT).contains(&format) {
             return Err(Unreadable::Format(format));
         }
-        let mut state: Agreed = serde_json::from_slice(bytes).map_err(damaged)?;
+        let mut state: ReplicatedState = serde_json::from_slice(bytes).map_err(damaged)?;
         // What an older program wrote is whole; from now on it may hold what that one can't read.
         state.format = FORMAT;
         if state.is_whole() { Ok(state) } else { Err(Unreadable::Damaged("its parts don't fit".into())) }
--- a/crates/mothpier-coordination/src/keeper.rs
+++ b/crates/mothpier-coordination/src/session_expiry.rs
@@ -8,17 +8,17 @@
 
 /// The sessions' times at the leader, in ms of its own clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Keeper {
+pub struct SessionExpiry {
     /// When each ends, and how often it had been renewed.
     ends: BTreeMap<SessionId, (u64, u64)>,
     /// The same in the order of their times.
     order: BTreeSet<(u64, SessionId)>,
 }
 
-impl Keeper {
+impl SessionExpiry {
     /// Leads from now on: all have their whole time before them.
     pub fn lead<'a>(&mut self, now: u64, sessions: impl Iterator<Item = (&'a SessionId, u64, u64)>) {
-        *self = Keeper::default();
+        *self = SessionExpiry::default();
         for (session, ttl_ms, renewals) in sessions {
             self.lives(now, session, ttl_ms, renewals);
         }
--- a/crates/mothpier-coordination/src/keeper/tests.rs
+++ b/crates/mothpier-coordination/src/session_expiry/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_renewal_gives_the_whole_time_from_its_commit_and_a_new_leader_gives_it_anew() {
-    let mut keeper = Keeper::default();
+    let mut keeper = SessionExpiry::default();
     keeper.lives(100, "a", 1000, 0);
     assert_eq!((keeper.next(), keeper.left(600, "a")), (Some(1100), Some(500)));
     keeper.lives(600, "a", 1000, 1);
--- a/crates/mothpier-coordination/src/wire.rs
+++ b/crates/mothpier-coordination/src/wire.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::Fleet;
-use crate::fleet::ask::Told as Drain;
-use crate::{Answer, Command, Floors};
+use crate::fleet::messages::Told as Drain;
+use crate::{Answer, Command, FenceFloors};
 
 /// The header that names the fleet in messages between members.
 pub const CLUSTER: &str = "x-mothpier-cluster";
@@ -72,7 +72,7 @@
     /// The number of the last change.
     pub revision: u64,
     /// What one that obeys has to know.
-    pub floors: Floors,
+    pub floors: FenceFloors,
     /// What is held.
     pub leases: Vec<Shown>,
 }
--- a/crates/mothpier-coordination/tests/agreed.rs
+++ b/crates/mothpier-coordination/tests/agreed.rs
@@ -1,10 +1,10 @@
 //! The agreed state: the same log makes the same bytes, a command that is sent twice takes effect once, bounds hold.
 #![allow(missing_docs)]
 
-use mothpier_coordination::fleet::ask::{
-    FleetAnswer, FleetAsk, FleetRefusal, Kind, Listed, NumberedReport, ReportedServers,
+use mothpier_coordination::fleet::messages::{
+    FleetCommand, FleetRefusal, FleetResponse, Kind, Listed, NumberedReport, ReportedServers,
 };
-use mothpier_coordination::{Agreed, Answer, Change, Command, Refusal, Request, Unreadable, limits};
+use mothpier_coordination::{Answer, Change, Command, Refusal, ReplicatedState, Request, Unreadable, limits};
 use proptest::prelude::*;
 
 fn open(session: &str) -> Command {
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_lease_goes_from_holder_to_holder_in_the_order_of_asking_and_its_fence_only_rises() {
-    let mut agreed = Agreed::default();
+    let mut agreed = ReplicatedState::default();
     for session in ["a", "b", "c"] {
         assert_eq!(agreed.apply(&open(session)), Answer::Opened);
     }
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_renewal_that_is_committed_before_an_end_wins_and_one_behind_it_is_refused() {
-    let mut agreed = Agreed::default();
+    let mut agreed = ReplicatedState::default();
     agreed.apply(&open("a"));
     let expire = Command::Expire { session: "a".into(), renewals: 0 };
     assert_eq!(agreed.apply(&Command::Renew { session: "a".into() }), Answer::Renewed);
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_lease_that_staff_break_ends_in_its_holders_time_and_not_before() {
-    let mut agreed = Agreed::default();
+    let mut agreed = ReplicatedState::default();
     ["a", "b"].iter().for_each(|s| drop(agreed.apply(&open(s))));
     agreed.apply(&ask("a", 1, acquire("roll", true)));
     agreed.apply(&ask("b", 1, acquire("roll", true)));
@@ -89,7 +89,7 @@
 
 #[test]
 fn values_change_only_where_nobody_else_changed_them_and_watchers_miss_nothing_or_are_told_so() {
-    let mut agreed = Agreed::default();
+    let mut agreed = ReplicatedState::default();
     agreed.apply(&open("a"));
     let put = |value: &str, at| Request::Put { key: "limit".into(), value: value.into(), at };
     assert_eq!(agreed.apply(&ask("a", 1, put("2", Some(0)))), Answer::Stored { revision: 1 });
@@ -112,7 +112,7 @@
 
 #[test]
 fn what_is_over_a_bound_is_refused_with_its_name() {
-    let mut agreed = Agreed::default();
+    let mut agreed = ReplicatedState::default();
     let over = |answer: Answer, name: &str| match refused(&answer) {
         Some(Refusal::OverLimit { limit, .. }) => assert_eq!(limit, name),
         _ => panic!("{answer:?}"),
@@ -138,11 +138,11 @@
 
 #[test]
 fn a_snapshot_of_a_newer_program_or_a_damaged_one_is_refused() {
-    let bytes = Agreed::default().to_bytes();
+    let bytes = ReplicatedState::default().to_bytes();
     let text = String::from_utf8(bytes.clone()).unwrap();
-    assert_eq!(Agreed::from_bytes(&bytes), Ok(Agreed::default()));
+    assert_eq!(ReplicatedState::from_bytes(&bytes), Ok(ReplicatedState::default()));
     let newer = text.replace("\"format\":3", "\"format\":4");
-    let refused = Agreed::from_bytes(newer.as_bytes()).unwrap_err();
+    let refused = ReplicatedState::from_bytes(newer.as_bytes()).unwrap_err();
     assert_eq!(refused, Unreadable::Format(4));
     let said =
         "it was written in format 4, and this program reads 1 to 3: start the newer version that wrote it";
@@ -151,19 +151,19 @@
     let (before, behind) = text.split_once("\"fleet\":").unwrap();
     let (_, behind) = behind.split_once(",\"history\"").unwrap();
     let older = format!("{before}\"history\"{behind}").replace("\"format\":3", "\"format\":1");
-    assert_eq!(Agreed::from_bytes(older.as_bytes()), Ok(Agreed::default()));
+    assert_eq!(ReplicatedState::from_bytes(older.as_bytes()), Ok(ReplicatedState::default()));
     for cut in 0..bytes.len() {
-        assert!(matches!(Agreed::from_bytes(&bytes[..cut]), Err(Unreadable::Damaged(_))), "{cut}");
+        assert!(matches!(ReplicatedState::from_bytes(&bytes[..cut]), Err(Unreadable::Damaged(_))), "{cut}");
     }
     let foreign = text.replace("\"fences\":0", "\"fences\":0,\"colour\":1");
-    assert!(matches!(Agreed::from_bytes(foreign.as_bytes()), Err(Unreadable::Damaged(_))));
+    assert!(matches!(ReplicatedState::from_bytes(foreign.as_bytes()), Err(Unreadable::Damaged(_))));
 }
 
 /// As the program at c010d1e wrote it: drains under way, a dead node, a cache server that one node does not list.
 #[test]
 fn a_snapshot_of_format_2_goes_on_and_its_nodes_begin_with_their_whole_lists() {
     let written = include_bytes!("fixtures/format-2.json");
-    let mut agreed = Agreed::from_bytes(written).unwrap();
+    let mut agreed = ReplicatedState::from_bytes(written).unwrap();
     assert!(agreed.fleet().index_is_current());
     let fleet = agreed.fleet();
     let stages: Vec<_> = fleet.drains.values().map(|d| (d.subject.id.as_str(), d.stage.name())).collect();
@@ -174,10 +174,10 @@
     // Read and written it is of this format, and the same state.
     let again = agreed.to_bytes();
     assert!(again.starts_with(b"{\"format\":3,"));
-    assert_eq!(Agreed::from_bytes(&again).unwrap(), agreed);
+    assert_eq!(ReplicatedState::from_bytes(&again).unwrap(), agreed);
     // What nodes told before is no base for a delta.
     let report = |number, servers| Request::Fleet {
-        what: FleetAsk::NumberedReport {
+        what: FleetCommand::NumberedReport {
             report: NumberedReport { number, ready: true, refused_percent: 0, servers },
         },
     };
@@ -186,7 +186,7 @@
     assert_eq!(refused(&agreed.apply(&ask("n1-a", 6, report(2, delta.clone())))), Some(&unknown));
     let line = |id: &str| Listed { id: id.into(), zone: id[..1].into(), up_since_ms: 9 };
     let whole = ReportedServers::Whole { listed: ["a1", "a2", "b1", "b2"].map(line).into() };
-    let done = Answer::Fleet { answer: FleetAnswer::Done };
+    let done = Answer::Fleet { answer: FleetResponse::Done };
     assert_eq!(agreed.apply(&ask("n1-a", 7, report(3, whole))), done);
     assert!(agreed.fleet().out(Kind::Server).contains_key("a3"));
     let delta = ReportedServers::Delta { base: 3, listed: vec![line("a3")], unlisted: vec!["b2".into()] };
@@ -198,11 +198,11 @@
 /// What clients of the version before are shown of a fleet has no field that they do not know.
 #[test]
 fn a_fleet_is_shown_as_the_version_before_reads_it() {
-    let mut agreed = Agreed::from_bytes(include_bytes!("fixtures/format-2.json")).unwrap();
+    let mut agreed = ReplicatedState::from_bytes(include_bytes!("fixtures/format-2.json")).unwrap();
     let line = Listed { id: "c1".into(), zone: "c".into(), up_since_ms: 9 };
     let servers = ReportedServers::Whole { listed: vec![line] };
     let report = NumberedReport { number: 1, ready: true, refused_percent: 0, servers };
-    let what = FleetAsk::NumberedReport { report };
+    let what = FleetCommand::NumberedReport { report };
     agreed.apply(&ask("n1-a", 6, Request::Fleet { what }));
     let keys = |value: &serde_json::Value| value.as_object().unwrap().keys().cloned().collect::<Vec<_>>();
     let shown = serde_json::to_value(agreed.fleet().shown()).unwrap();
@@ -246,12 +246,12 @@
 
     #[test]
     fn the_same_log_makes_the_same_bytes_also_through_snapshots_and_fences_only_rise(log in commands()) {
-        let (mut one, mut other) = (Agreed::default(), Agreed::default());
+        let (mut one, mut other) = (ReplicatedState::default(), ReplicatedState::default());
         let mut floor = 0;
         for (i, command) in log.iter().enumerate() {
             let answer = one.apply(command);
             if i % 3 == 0 {
-                other = Agreed::from_bytes(&other.to_bytes()).unwrap();
+                other = ReplicatedState::from_bytes(&other.to_bytes()).unwrap();
             }
             prop_assert_eq!(&other.apply(command), &answer);
             prop_assert_eq!(one.to_bytes(), other.to_bytes());
--- a/crates/mothpier-coordination/tests/fleet.rs
+++ b/crates/mothpier-coordination/tests/fleet.rs
@@ -1,29 +1,29 @@
 //! The rule on drains, command by command.
 
 use mothpier_coordination::fleet::Fleet;
-use mothpier_coordination::fleet::ask::{
-    AuditNote, FleetAnswer, FleetAsk, FleetRefusal, Kind, Listed, Report, Stage, Subject, Then,
-};
 use mothpier_coordination::fleet::limits::{Bound, Limits};
+use mothpier_coordination::fleet::messages::{
+    AuditNote, FleetCommand, FleetRefusal, FleetResponse, Kind, Listed, Report, Stage, Subject, Then,
+};
 use mothpier_coordination::fleet::timers::Timer;
 
-type Answered = Result<FleetAnswer, FleetRefusal>;
+type Answered = Result<FleetResponse, FleetRefusal>;
 
 fn note(why: &str) -> AuditNote {
     AuditNote { by: "duty".into(), reason: why.into(), at_ms: 7 }
 }
 
-fn ask(fleet: &mut Fleet, session: &str, ask: FleetAsk) -> Answered {
+fn ask(fleet: &mut Fleet, session: &str, ask: FleetCommand) -> Answered {
     fleet.ask(session, &ask, &mut Vec::new())
 }
 
 fn out(fleet: &mut Fleet, subject: Subject, wait: bool, force: bool) -> Answered {
-    let drain = FleetAsk::Drain { subject, note: note("w"), for_ms: None, then: Then::Stay, wait, force };
+    let drain = FleetCommand::Drain { subject, note: note("w"), for_ms: None, then: Then::Stay, wait, force };
     ask(fleet, "staff", drain)
 }
 
 fn back(fleet: &mut Fleet, subject: Subject) -> Answered {
-    ask(fleet, "staff", FleetAsk::Back { subject, note: note("b") })
+    ask(fleet, "staff", FleetCommand::Back { subject, note: note("b") })
 }
 
 fn listed(ids: &[&str]) -> Vec<Listed> {
@@ -37,7 +37,7 @@
 
 fn reports(fleet: &mut Fleet, node: &str, ready: bool, servers: Option<&[&str]>) {
     let report = Report { ready, refused_percent: 0, servers: servers.map(listed) };
-    assert_eq!(ask(fleet, node, FleetAsk::Report { report }), Ok(FleetAnswer::Done));
+    assert_eq!(ask(fleet, node, FleetCommand::Report { report }), Ok(FleetResponse::Done));
 }
 
 const SERVERS: [&str; 6] = ["a1", "a2", "a3", "b1", "b2", "b3"];
@@ -46,19 +46,19 @@
 fn fleet(nodes: u32, servers: u32) -> Fleet {
     let mut fleet = Fleet::default();
     for node in ["n1", "n2", "n3"] {
-        ask(&mut fleet, node, FleetAsk::Join { node: node.into(), zone: "z".into() }).unwrap();
+        ask(&mut fleet, node, FleetCommand::Join { node: node.into(), zone: "z".into() }).unwrap();
         reports(&mut fleet, node, true, Some(&SERVERS));
     }
     let bound = |out_most| Bound { out_most, ..Limits::default().nodes };
     let limits = Limits { nodes: bound(nodes), servers: bound(servers), ..Limits::default() };
-    ask(&mut fleet, "staff", FleetAsk::Limits { limits, note: note("l") }).unwrap();
+    ask(&mut fleet, "staff", FleetCommand::Limits { limits, note: note("l") }).unwrap();
     fleet
 }
 
 fn limits(fleet: &mut Fleet, change: impl FnOnce(&mut Limits)) {
     let mut limits = fleet.limits.clone();
     change(&mut limits);
-    ask(fleet, "staff", FleetAsk::Limits { limits, note: note("l") }).unwrap();
+    ask(fleet, "staff", FleetCommand::Limits { limits, note: note("l") }).unwrap();
 }
 
 fn stage(fleet: &Fleet, subject: &Subject) -> Option<Stage> {
@@ -68,7 +68,7 @@
 fn confirm(fleet: &mut Fleet, nodes: &[&str], subject: &Subject) {
     let (drain, turn) = fleet.drain_of(subject).map(|(n, d)| (n, d.turn)).unwrap();
     for node in nodes {
-        ask(fleet, node, FleetAsk::Confirm { drain, turn }).unwrap();
+        ask(fleet, node, FleetCommand::Confirm { drain, turn }).unwrap();
     }
 }
 
@@ -90,7 +90,7 @@
 fn a_cache_server_goes_out_when_every_node_has_confirmed_and_comes_back_cold() {
     let (mut fleet, a1) = (fleet(1, 1), Subject::server("a1"));
     let answer = out(&mut fleet, a1.clone(), false, false);
-    assert!(matches!(answer, Ok(FleetAnswer::Drain { stage: Stage::Leaving, .. })), "{answer:?}");
+    assert!(matches!(answer, Ok(FleetResponse::Drain { stage: Stage::Leaving, .. })), "{answer:?}");
     confirm(&mut fleet, &["n1", "n2"], &a1);
     let (_, drain) = fleet.drain_of(&a1).unwrap();
     assert_eq!((drain.stage, fleet.waits_for(drain)), (Stage::Leaving, vec!["n3".into()]));
@@ -149,7 +149,7 @@
     // What two of three nodes do not list is missing; what one does not is that one's trouble.
     reports(&mut fleet, "n1", true, Some(&SERVERS[1..]));
     assert!(!fleet.out(Kind::Server).is_empty(), "one of the two that live");
-    ask(&mut fleet, "n2-again", FleetAsk::Join { node: "n2".into(), zone: "z".into() }).unwrap();
+    ask(&mut fleet, "n2-again", FleetCommand::Join { node: "n2".into(), zone: "z".into() }).unwrap();
     reports(&mut fleet, "n2-again", false, Some(&SERVERS));
     assert!(fleet.out(Kind::Server).is_empty(), "one of three");
     reports(&mut fleet, "n3", true, Some(&SERVERS[1..]));
@@ -200,7 +200,7 @@
     confirm(&mut fleet, &["n1", "n2"], &a1);
     let (_, drain) = fleet.drain_of(&a1).unwrap();
     assert_eq!(fleet.waits_for(drain), ["n3"]);
-    let gone = |node: &str| FleetAsk::Forget { subject: Subject::node(node), note: note("burnt") };
+    let gone = |node: &str| FleetCommand::Forget { subject: Subject::node(node), note: note("burnt") };
     assert_eq!(ask(&mut fleet, "staff", gone("n1")), Err(FleetRefusal::Lives));
     ask(&mut fleet, "staff", gone("n3")).unwrap();
     assert_eq!(stage(&fleet, &a1), Some(Stage::Out));
@@ -210,10 +210,10 @@
     confirm(&mut fleet, &ALL[..2], &a1);
     for life in 0..2 {
         again = format!("n3-{life}");
-        ask(&mut fleet, &again, FleetAsk::Join { node: "n3".into(), zone: "z".into() }).unwrap();
+        ask(&mut fleet, &again, FleetCommand::Join { node: "n3".into(), zone: "z".into() }).unwrap();
     }
     let (drain, turn) = fleet.drain_of(&a1).map(|(n, d)| (n, d.turn)).unwrap();
-    let confirm = FleetAsk::Confirm { drain, turn };
+    let confirm = FleetCommand::Confirm { drain, turn };
     assert_eq!(ask(&mut fleet, "n3", confirm.clone()), Err(FleetRefusal::NoNode), "its name is another's");
     assert_eq!(stage(&fleet, &a1), Some(Stage::Leaving));
     ask(&mut fleet, &again, confirm).unwrap();
@@ -233,7 +233,7 @@
     // Out again in the midst: it has its place, and nodes confirm anew.
     out(&mut fleet, a1.clone(), false, false).unwrap();
     for node in ALL {
-        ask(&mut fleet, node, FleetAsk::Confirm { drain, turn }).unwrap();
+        ask(&mut fleet, node, FleetCommand::Confirm { drain, turn }).unwrap();
     }
     assert_eq!(stage(&fleet, &a1), Some(Stage::Leaving));
     confirm(&mut fleet, &ALL, &a1);
@@ -257,7 +257,7 @@
     assert_eq!(stage(&fleet, &n2), Some(Stage::Out));
     // It crashes while out, and comes back ready: it is still drained, and counts.
     fleet.session_over("n2", &mut Vec::new());
-    ask(&mut fleet, "n2-b", FleetAsk::Join { node: "n2".into(), zone: "z".into() }).unwrap();
+    ask(&mut fleet, "n2-b", FleetCommand::Join { node: "n2".into(), zone: "z".into() }).unwrap();
     reports(&mut fleet, "n2-b", true, Some(&SERVERS));
     assert!(blocked(out(&mut fleet, Subject::node("n1"), false, false)).contains("n2 (drain"));
     back(&mut fleet, n2.clone()).unwrap();
@@ -302,9 +302,9 @@
     assert!(calm(&fleet));
     due(&mut fleet, |t| matches!(t, Timer::Calm { .. }));
     assert_eq!(fleet.halt, None);
-    let resume = FleetAsk::Resume { note: note("r") };
+    let resume = FleetCommand::Resume { note: note("r") };
     assert_eq!(ask(&mut fleet, "staff", resume.clone()), Err(FleetRefusal::NotHalted));
-    ask(&mut fleet, "staff", FleetAsk::Halt { note: note("storm") }).unwrap();
+    ask(&mut fleet, "staff", FleetCommand::Halt { note: note("storm") }).unwrap();
     assert!(!calm(&fleet), "staff's halt ends by staff's note alone");
     ask(&mut fleet, "staff", resume.clone()).unwrap();
     assert_eq!(fleet.halt, None);
@@ -313,7 +313,7 @@
     reports(&mut fleet, "n1", true, Some(&["a1"]));
     reports(&mut fleet, "n2", true, Some(&["a1"]));
     assert!(fleet.halt.as_ref().is_some_and(|h| h.by_itself));
-    ask(&mut fleet, "staff", FleetAsk::Halt { note: note("look first") }).unwrap();
+    ask(&mut fleet, "staff", FleetCommand::Halt { note: note("look first") }).unwrap();
     reports(&mut fleet, "n1", true, Some(&SERVERS));
     reports(&mut fleet, "n2", true, Some(&SERVERS));
     assert!(!calm(&fleet) && fleet.halt.as_ref().is_some_and(|h| h.note.reason == "look first"));
@@ -324,7 +324,7 @@
 fn a_fleet_that_refuses_too_much_halts_while_something_goes_out() {
     let mut fleet = fleet(1, 2);
     limits(&mut fleet, |l| l.refused_percent = Some(10));
-    let report = |percent| FleetAsk::Report {
+    let report = |percent| FleetCommand::Report {
         report: Report { ready: true, refused_percent: percent, servers: None },
     };
     ask(&mut fleet, "n1", report(60)).unwrap();
@@ -339,8 +339,14 @@
     let mut fleet = fleet(1, 3);
     let mut drain = |id: &str, then| {
         let subject = Subject::server(id);
-        let asked =
-            FleetAsk::Drain { subject, note: note("w"), for_ms: Some(900), then, wait: false, force: false };
+        let asked = FleetCommand::Drain {
+            subject,
+            note: note("w"),
+            for_ms: Some(900),
+            then,
+            wait: false,
+            force: false,
+        };
         ask(&mut fleet, "staff", asked).unwrap();
     };
     drain("a1", Then::Stay);
@@ -354,8 +360,8 @@
     let mut list = listed(&SERVERS);
     list[4].up_since_ms = 77;
     let report = Report { ready: true, refused_percent: 0, servers: Some(list) };
-    ask(&mut fleet, "n1", FleetAsk::Report { report: report.clone() }).unwrap();
-    ask(&mut fleet, "n2", FleetAsk::Report { report }).unwrap();
+    ask(&mut fleet, "n1", FleetCommand::Report { report: report.clone() }).unwrap();
+    ask(&mut fleet, "n2", FleetCommand::Report { report }).unwrap();
     assert_eq!(fleet.out(Kind::Server)["b2"], "cold");
     due(&mut fleet, |t| matches!(t, Timer::Start { .. }));
     assert!(!fleet.out(Kind::Server).contains_key("b2"));
@@ -369,20 +375,20 @@
     let long = note(&"x".repeat(501));
     let mut limits = Limits::default();
     limits.nodes.out_percent = Some(101);
-    let node = |name: &str| FleetAsk::Join { node: name.into(), zone: "z".into() };
+    let node = |name: &str| FleetCommand::Join { node: name.into(), zone: "z".into() };
     for (session, what, says) in [
-        ("staff", FleetAsk::Halt { note: none }, "has to be named"),
-        ("staff", FleetAsk::Halt { note: note(" ") }, "a reason has to be given"),
-        ("staff", FleetAsk::Halt { note: long }, "at most 500"),
-        ("staff", FleetAsk::Limits { limits, note: note("l") }, "nodes.out_percent: 101"),
-        ("staff", FleetAsk::Confirm { drain: 1, turn: 1 }, "no node's"),
+        ("staff", FleetCommand::Halt { note: none }, "has to be named"),
+        ("staff", FleetCommand::Halt { note: note(" ") }, "a reason has to be given"),
+        ("staff", FleetCommand::Halt { note: long }, "at most 500"),
+        ("staff", FleetCommand::Limits { limits, note: note("l") }, "nodes.out_percent: 101"),
+        ("staff", FleetCommand::Confirm { drain: 1, turn: 1 }, "no node's"),
         ("x", node("n 1"), "take letters"),
         ("n1", node("n9"), "another node's"),
     ] {
         let refused = ask(&mut fleet, session, what).unwrap_err().to_string();
         assert!(refused.contains(says), "{refused}");
     }
-    let endless = FleetAsk::Drain {
+    let endless = FleetCommand::Drain {
         subject: Subject::server("a1"),
         note: note("w"),
         for_ms: Some(u64::MAX),
@@ -395,6 +401,6 @@
     let many: Vec<Listed> =
         (0..3000).map(|i| Listed { id: format!("s{i}"), zone: String::new(), up_since_ms: 0 }).collect();
     let report = Report { ready: true, refused_percent: 0, servers: Some(many) };
-    assert!(ask(&mut fleet, "n1", FleetAsk::Report { report }).is_err());
+    assert!(ask(&mut fleet, "n1", FleetCommand::Report { report }).is_err());
     assert_eq!(fleet, before);
 }
--- a/crates/mothpier-coordination/tests/fleet_index.rs
+++ b/crates/mothpier-coordination/tests/fleet_index.rs
@@ -5,11 +5,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mothpier_coordination::fleet::ask::{
-    AuditNote, FleetAsk, FleetRefusal, Kind, Listed, NumberedReport, Report, ReportedServers, Stage, Subject,
-    Then,
-};
 use mothpier_coordination::fleet::limits::{Bound, Limits};
+use mothpier_coordination::fleet::messages::{
+    AuditNote, FleetCommand, FleetRefusal, Kind, Listed, NumberedReport, Report, ReportedServers, Stage,
+    Subject, Then,
+};
 use mothpier_coordination::fleet::reporter::{Reporter, ready_list};
 use mothpier_coordination::fleet::timers::Timer;
 use mothpier_coordination::fleet::{Drain, Fleet, Node};
@@ -234,7 +234,7 @@
     }
 
     /// The same command for both; both answer the same.
-    fn ask(&mut self, session: &str, ask: FleetAsk) {
+    fn ask(&mut self, session: &str, ask: FleetCommand) {
         let (mut one, mut other) = (Vec::new(), Vec::new());
         let answer = self.by_deltas.ask(session, &ask, &mut one);
         assert_eq!(answer, self.by_whole_lists.ask(session, &ask, &mut other));
@@ -249,12 +249,12 @@
         let (ready, refused_percent) = (process.ready, process.refused_percent);
         let Some(numbered) = process.reporter.next(ready, refused_percent) else { return };
         let (mut one, mut other) = (Vec::new(), Vec::new());
-        let ask = FleetAsk::NumberedReport { report: numbered.clone() };
+        let ask = FleetCommand::NumberedReport { report: numbered.clone() };
         self.by_deltas.ask(&process.session, &ask, &mut one).unwrap();
         process.reporter.accepted(numbered.number);
         process.sent.push(numbered);
         let servers = if list_is_new { process.list.clone() } else { None };
-        let ask = FleetAsk::Report { report: Report { ready, refused_percent, servers } };
+        let ask = FleetCommand::Report { report: Report { ready, refused_percent, servers } };
         self.by_whole_lists.ask(&process.session, &ask, &mut other).unwrap();
         assert_eq!(one, other);
     }
@@ -265,7 +265,7 @@
                 self.sessions += 1;
                 let session = format!("{}-{}", node(*i), self.sessions);
                 self.processes[*i] = Some(Process { session: session.clone(), ..Process::default() });
-                self.ask(&session, FleetAsk::Join { node: node(*i), zone: zone(*i) });
+                self.ask(&session, FleetCommand::Join { node: node(*i), zone: zone(*i) });
             }
             Step::SessionOver(i) => {
                 let Some(process) = self.processes[*i].take() else { return };
@@ -292,7 +292,7 @@
             Step::Repeat(i, back) => self.repeat(*i, *back),
             Step::Restart(i) => self.up_since[*i] += 1,
             Step::Drain(i, wait, force) => {
-                let drain = FleetAsk::Drain {
+                let drain = FleetCommand::Drain {
                     subject: subject(*i),
                     note: note(),
                     for_ms: Some(1_000),
@@ -302,17 +302,17 @@
                 };
                 self.ask("staff", drain);
             }
-            Step::Back(i) => self.ask("staff", FleetAsk::Back { subject: subject(*i), note: note() }),
+            Step::Back(i) => self.ask("staff", FleetCommand::Back { subject: subject(*i), note: note() }),
             Step::Confirm(i, nth) => {
                 let drain = self.by_deltas.drains.iter().nth(*nth).map(|(number, d)| (*number, d.turn));
                 if let (Some(process), Some((drain, turn))) = (&self.processes[*i], drain) {
                     let session = process.session.clone();
-                    self.ask(&session, FleetAsk::Confirm { drain, turn });
+                    self.ask(&session, FleetCommand::Confirm { drain, turn });
                 }
             }
-            Step::Forget(i) => self.ask("staff", FleetAsk::Forget { subject: subject(*i), note: note() }),
-            Step::Halt => self.ask("staff", FleetAsk::Halt { note: note() }),
-            Step::Resume => self.ask("staff", FleetAsk::Resume { note: note() }),
+            Step::Forget(i) => self.ask("staff", FleetCommand::Forget { subject: subject(*i), note: note() }),
+            Step::Halt => self.ask("staff", FleetCommand::Halt { note: note() }),
+            Step::Resume => self.ask("staff", FleetCommand::Resume { note: note() }),
             Step::Limits(most, percent, zone, fewest) => {
                 let bound = Bound {
                     out_most: *most,
@@ -329,7 +329,7 @@
                     calm_ms: Some(1_000),
                     ..Limits::default()
                 };
-                self.ask("staff", FleetAsk::Limits { limits, note: note() });
+                self.ask("staff", FleetCommand::Limits { limits, note: note() });
             }
             Step::Due(nth) => {
                 let Some(timer) = self.by_deltas.timers().into_keys().nth(*nth) else { return };
@@ -353,7 +353,7 @@
         let Some(report) = process.sent.iter().rev().nth(back).cloned() else { return };
         let before = self.by_deltas.clone();
         let mut changes = Vec::new();
-        let ask = FleetAsk::NumberedReport { report };
+        let ask = FleetCommand::NumberedReport { report };
         let answer = self.by_deltas.ask(&process.session, &ask, &mut changes);
         let last = process.sent.len() as u64;
         assert_eq!(answer.err(), (back > 0).then_some(FleetRefusal::UnknownBase { last }));
@@ -414,19 +414,21 @@
     ids.iter().map(|id| Listed { id: (*id).into(), zone: "a".into(), up_since_ms: 1 }).collect()
 }
 
-fn numbered(number: u64, servers: ReportedServers) -> FleetAsk {
-    FleetAsk::NumberedReport { report: NumberedReport { number, ready: true, refused_percent: 0, servers } }
+fn numbered(number: u64, servers: ReportedServers) -> FleetCommand {
+    FleetCommand::NumberedReport {
+        report: NumberedReport { number, ready: true, refused_percent: 0, servers },
+    }
 }
 
 fn joined(fleet: &mut Fleet, node: &str, session: &str) {
-    let join = FleetAsk::Join { node: node.into(), zone: "a".into() };
+    let join = FleetCommand::Join { node: node.into(), zone: "a".into() };
     fleet.ask(session, &join, &mut Vec::new()).unwrap();
 }
 
 #[test]
 fn a_delta_without_its_base_is_refused_with_the_last_number_and_changes_nothing() {
     let mut fleet = Fleet::default();
-    let ask = |fleet: &mut Fleet, session: &str, ask: FleetAsk| fleet.ask(session, &ask, &mut Vec::new());
+    let ask = |fleet: &mut Fleet, session: &str, ask: FleetCommand| fleet.ask(session, &ask, &mut Vec::new());
     let delta = |base| ReportedServers::Delta { base, listed: vec![], unlisted: vec!["s1".into()] };
     let whole = || ReportedServers::Whole { listed: listed(&["s1", "s2"]) };
     joined(&mut fleet, "n1", "n1-a");
@@ -452,6 +454,6 @@
     ask(&mut fleet, "n1-b", numbered(1, whole())).unwrap();
     // A report without a number, as of a node of the version before, is no base either.
     let report = Report { ready: true, refused_percent: 0, servers: Some(listed(&["s1"])) };
-    ask(&mut fleet, "n1-b", FleetAsk::Report { report }).unwrap();
+    ask(&mut fleet, "n1-b", FleetCommand::Report { report }).unwrap();
     assert_eq!(ask(&mut fleet, "n1-b", numbered(2, delta(1))), unknown(0));
 }
--- a/crates/mothpier-coordination/tests/fleet_model.rs
+++ b/crates/mothpier-coordination/tests/fleet_model.rs
@@ -8,9 +8,11 @@
 
 use std::collections::BTreeSet;
 
-use mothpier_coordination::fleet::ask::{AuditNote, FleetAsk, Kind, Listed, Report, Stage, Subject, Then};
 use mothpier_coordination::fleet::follow::{Effect, Follower};
 use mothpier_coordination::fleet::limits::{Bound, Limits};
+use mothpier_coordination::fleet::messages::{
+    AuditNote, FleetCommand, Kind, Listed, Report, Stage, Subject, Then,
+};
 use mothpier_coordination::fleet::timers::Timer;
 use mothpier_coordination::fleet::{Condition, Fleet};
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -95,7 +97,7 @@
 }
 
 impl Bounds {
-    fn ask(&self, world: &mut World, session: &str, ask: &FleetAsk) {
+    fn ask(&self, world: &mut World, session: &str, ask: &FleetCommand) {
         let before: BTreeSet<u64> = granted(&world.fleet).collect();
         let halted = world.fleet.halt.is_some();
         let _ = world.fleet.ask(session, ask, &mut Vec::new());
@@ -136,7 +138,7 @@
         match step {
             Step::Drain(subject) => {
                 world.spent[0] += 1;
-                let drain = FleetAsk::Drain {
+                let drain = FleetCommand::Drain {
                     subject,
                     note: note(),
                     for_ms: None,
@@ -148,13 +150,13 @@
             }
             Step::Back(subject) => {
                 world.spent[1] += 1;
-                self.ask(world, "staff", &FleetAsk::Back { subject, note: note() });
+                self.ask(world, "staff", &FleetCommand::Back { subject, note: note() });
             }
             Step::Halt => {
                 world.spent[4] += 1;
-                self.ask(world, "staff", &FleetAsk::Halt { note: note() });
+                self.ask(world, "staff", &FleetCommand::Halt { note: note() });
             }
-            Step::Resume => self.ask(world, "staff", &FleetAsk::Resume { note: note() }),
+            Step::Resume => self.ask(world, "staff", &FleetCommand::Resume { note: note() }),
             Step::Over(i) => {
                 world.spent[2] += 1;
                 if let Some(session) = world.machines[i].session.take() {
@@ -168,7 +170,7 @@
                 machine.session = Some(session.clone());
                 machine.follower.joined();
                 let serves = machine.serves;
-                let join = FleetAsk::Join { node: format!("n{i}"), zone: "z".into() };
+                let join = FleetCommand::Join { node: format!("n{i}"), zone: "z".into() };
                 self.ask(world, &session, &join);
                 if serves {
                     self.ready(world, i);
@@ -207,7 +209,7 @@
             }
             Step::Arrive(session, drain, turn) => {
                 world.net.remove(&(session.clone(), drain, turn));
-                self.ask(world, &session, &FleetAsk::Confirm { drain, turn });
+                self.ask(world, &session, &FleetCommand::Confirm { drain, turn });
             }
             Step::Due(timer) => {
                 let before: BTreeSet<u64> = granted(&world.fleet).collect();
@@ -229,7 +231,7 @@
     fn ready(&self, world: &mut World, i: usize) {
         let session = world.machines[i].session.clone().unwrap_or_default();
         let report = Report { ready: true, refused_percent: 0, servers: None };
-        self.ask(world, &session, &FleetAsk::Report { report });
+        self.ask(world, &session, &FleetCommand::Report { report });
     }
 
     /// Everything is mended and everybody does what is theirs: whatever has happened, each drain gets to its end.
@@ -299,15 +301,15 @@
         };
         let bound = Bound { ready_fewest: 0, ..Limits::default().nodes };
         let limits = Limits { nodes: bound.clone(), servers: bound, ..Limits::default() };
-        self.ask(&mut world, "staff", &FleetAsk::Limits { limits, note: note() });
+        self.ask(&mut world, "staff", &FleetCommand::Limits { limits, note: note() });
         let list = (0..self.servers).map(|i| Listed { id: server(i), zone: "z".into(), up_since_ms: 0 });
         let servers = Some(list.collect::<Vec<_>>());
         for i in 0..self.nodes {
             let session = format!("n{i}-0");
-            let join = FleetAsk::Join { node: format!("n{i}"), zone: "z".into() };
+            let join = FleetCommand::Join { node: format!("n{i}"), zone: "z".into() };
             self.ask(&mut world, &session, &join);
             let report = Report { ready: true, refused_percent: 0, servers: servers.clone() };
-            self.ask(&mut world, &session, &FleetAsk::Report { report });
+            self.ask(&mut world, &session, &FleetCommand::Report { report });
             self.read(&mut world, i);
         }
         vec![world]
--- a/crates/mothpier-coordination/tests/model.rs
+++ b/crates/mothpier-coordination/tests/model.rs
@@ -1,7 +1,7 @@
 //! The claim that two holders never act at once, checked over every order of events within bounds, and refuted for each
 //! condition that is left out.
 //!
-//! The pure code is the product's own: `Agreed`, `Keeper`, `Hold`, `Obeyer`. Around it stand three coordinators as a log
+//! The pure code is the product's own: `ReplicatedState`, `SessionExpiry`, `LeaseValidity`, `FenceGuard`. Around it stand three coordinators as a log
 //! whose committed part only grows (that is the consensus library's claim), a network that loses, doubles and delays,
 //! clocks that run apart, pauses of any length between a check and an act, crashes and new leaders.
 //!
@@ -9,7 +9,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mothpier_coordination::{Act, Agreed, Answer, Command, Fence, Floors, Hold, Keeper, Obeyer, Request};
+use mothpier_coordination::{
+    Answer, Command, Fence, FenceFloors, FenceGuard, FencedAction, LeaseValidity, ReplicatedState, Request,
+    SessionExpiry,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const LEASE: &str = "l";
@@ -70,13 +73,13 @@
     /// To a client, and when that was.
     Answer(usize, u64, Answer),
     /// To one that obeys.
-    Act(usize, usize, Act),
+    FencedAction(usize, usize, FencedAction),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Client {
     clock: u64,
-    hold: Hold,
+    hold: LeaseValidity,
     opened: u8,
     open: bool,
     /// Requests sent: to hold the lease, then to give it up.
@@ -91,7 +94,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Listener {
-    obeyer: Obeyer,
+    obeyer: FenceGuard,
     clock: u64,
     /// What it has obeyed last, and whose.
     obeyed: Option<(Fence, usize)>,
@@ -103,12 +106,12 @@
     /// Committed.
     log: Vec<Command>,
     /// The leader's state.
-    agreed: Agreed,
+    agreed: ReplicatedState,
     /// How much of the log each coordinator has taken.
     taken: [usize; 3],
     leader: usize,
     led: u8,
-    keeper: Keeper,
+    keeper: SessionExpiry,
     clock: u64,
     /// How often the leader's clock ran fast, and those of clients and listeners stood still.
     slips: [u8; 3],
@@ -150,7 +153,7 @@
     Renew(usize),
     Watch(usize),
     ToldClock(usize, usize),
-    Act(usize),
+    FencedAction(usize),
     Deliver(Message),
     Restart(usize),
     Learn(usize),
@@ -181,8 +184,8 @@
     }
 
     /// What a new leader makes of its part of the log: each takes it through a snapshot and back.
-    fn replay(&self, log: &[Command]) -> Agreed {
-        let mut agreed = Agreed::default();
+    fn replay(&self, log: &[Command]) -> ReplicatedState {
+        let mut agreed = ReplicatedState::default();
         log.iter().for_each(|c| drop(agreed.apply(c)));
         let bytes = agreed.to_bytes();
         let mut state: serde_json::Value = serde_json::from_slice(&bytes).expect("a snapshot");
@@ -201,7 +204,7 @@
             }
             _ => {}
         }
-        let whole = Agreed::from_bytes(state.to_string().as_bytes()).expect("a snapshot");
+        let whole = ReplicatedState::from_bytes(state.to_string().as_bytes()).expect("a snapshot");
         assert!(whole.to_bytes() == bytes || self.twin != Twin::Whole, "not the same, byte for byte");
         whole
     }
@@ -293,7 +296,7 @@
                     _ => {}
                 }
             }
-            Message::Act(client, listener, act) => {
+            Message::FencedAction(client, listener, act) => {
                 let l = &mut w.listeners[*listener];
                 let now = l.clock;
                 let in_time = if self.timed && self.twin != Twin::ActWithoutItsTime {
@@ -329,7 +332,7 @@
         let kept_off = if self.twin == Twin::NoBoundForDrift { 0 } else { KEPT_OFF };
         let client = Client {
             clock: 0,
-            hold: Hold::keeping_off(TTL, kept_off),
+            hold: LeaseValidity::keeping_off(TTL, kept_off),
             opened: 0,
             open: false,
             asked: 0,
@@ -340,8 +343,8 @@
             released: false,
         };
         let listener = |i: usize| {
-            let mut obeyer = Obeyer::new(format!("{i}"));
-            obeyer.learn(Floors::default());
+            let mut obeyer = FenceGuard::new(format!("{i}"));
+            obeyer.learn(FenceFloors::default());
             Listener { obeyer, clock: 0, obeyed: None }
         };
         // Somebody asks first, and the world's time begins there.
@@ -351,11 +354,11 @@
         vec![World {
             now: 0,
             log: Vec::new(),
-            agreed: Agreed::default(),
+            agreed: ReplicatedState::default(),
             taken: [0; 3],
             leader: 0,
             led: 0,
-            keeper: Keeper::default(),
+            keeper: SessionExpiry::default(),
             clock: 0,
             slips: [0; 3],
             jumped: false,
@@ -409,7 +412,7 @@
                 steps.push(Step::Open(i));
             }
             // Not while an order of its own is on its way: it would be done beside the next holder.
-            let out = |(m, copies): (&Message, &u8)| matches!(m, Message::Act(whose, ..) if *whose == i && *copies == 2);
+            let out = |(m, copies): (&Message, &u8)| matches!(m, Message::FencedAction(whose, ..) if *whose == i && *copies == 2);
             let quiet = self.twin == Twin::GivesUpTooSoon || !w.net.iter().any(out);
             let releases = self.releases && quiet && c.fence.is_some() && c.asked == 1;
             if c.open && ((c.asked == 0 && self.releases) || releases) {
@@ -427,7 +430,7 @@
                     // Which of those who obey it is makes no difference: the first client goes to the last.
                     steps.push(Step::ToldClock(i, if i == 0 { self.obeyers - 1 } else { 0 }));
                 } else if fence > 0 && (!self.timed || c.hold.left(c.clock).is_some()) {
-                    steps.push(Step::Act(i));
+                    steps.push(Step::FencedAction(i));
                 }
                 if self.twin == Twin::ExpiryByTheWallClock && c.clock >= 4 * TICK && !w.jumped {
                     steps.push(Step::WallClockBack(i));
@@ -516,12 +519,12 @@
                 w.clients[i].fence = w.agreed.leases().get(LEASE).map(|l| l.fence);
             }
             Step::ToldClock(i, j) => w.clients[i].told = Some((j, w.listeners[j].clock)),
-            Step::Act(i) => {
+            Step::FencedAction(i) => {
                 let c = &mut w.clients[i];
                 c.acted = true;
                 let (j, told) = c.told.unwrap_or((0, 0));
                 let left = c.hold.left(c.clock).unwrap_or(0);
-                let act = Act {
+                let act = FencedAction {
                     lease: LEASE.into(),
                     fence: c.fence?,
                     clock: format!("{j}"),
@@ -530,7 +533,7 @@
                 };
                 // Doubled where a holder may give up after the first copy was answered.
                 let copies = if self.releases { 2 } else { 1 };
-                w.net.insert(Message::Act(i, j, act), copies);
+                w.net.insert(Message::FencedAction(i, j, act), copies);
             }
             Step::Deliver(message) => {
                 let copies = w.net.get_mut(&message)?;
@@ -543,11 +546,11 @@
             Step::Restart(j) => {
                 w.restarts += 1;
                 // A new process tells another clock: acts that count on the old one are refused by name.
-                w.listeners[j].obeyer = Obeyer::new(format!("{j}"));
+                w.listeners[j].obeyer = FenceGuard::new(format!("{j}"));
             }
             Step::Learn(j) => {
                 let floors = match self.twin {
-                    Twin::ObeysFromNothing => Floors::default(),
+                    Twin::ObeysFromNothing => FenceFloors::default(),
                     _ => w.agreed.floors(),
                 };
                 w.listeners[j].obeyer.learn(floors);
--- a/crates/mothpier-coordination/tests/report_model.rs
+++ b/crates/mothpier-coordination/tests/report_model.rs
@@ -9,8 +9,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mothpier_coordination::fleet::ask::{
-    FleetAsk, FleetRefusal, Kind, Listed, NumberedReport, Report, ReportedServers,
+use mothpier_coordination::fleet::messages::{
+    FleetCommand, FleetRefusal, Kind, Listed, NumberedReport, Report, ReportedServers,
 };
 use mothpier_coordination::fleet::reporter::{Reporter, ready_list};
 use mothpier_coordination::fleet::{Condition, Fleet, Node};
@@ -118,7 +118,7 @@
 }
 
 impl World {
-    fn both(&mut self, session: &str, ask: &FleetAsk) {
+    fn both(&mut self, session: &str, ask: &FleetCommand) {
         let _ = self.fleet.ask(session, ask, &mut Vec::new());
         let _ = self.reference.ask(session, ask, &mut Vec::new());
     }
@@ -130,7 +130,7 @@
         *process = Process { lives: process.lives + 1, ..fresh };
         process.reporter.set_servers(ready_list(lines(&process.list)));
         let session = process.session(i);
-        self.both(&session, &FleetAsk::Join { node: format!("n{i}"), zone: "z".into() });
+        self.both(&session, &FleetCommand::Join { node: format!("n{i}"), zone: "z".into() });
     }
 
     fn send(&mut self, i: usize) {
@@ -144,7 +144,7 @@
     }
 
     fn deliver(&mut self, message: &Message, answered: bool) {
-        let ask = FleetAsk::NumberedReport { report: message.report.clone() };
+        let ask = FleetCommand::NumberedReport { report: message.report.clone() };
         let answer = self.fleet.ask(&message.session, &ask, &mut Vec::new());
         let process = &mut self.processes[message.node];
         if !process.joined || process.session(message.node) != message.session {
@@ -159,7 +159,7 @@
         if number > process.taken && builds_on.is_none_or(|base| base == process.taken) {
             process.taken = number;
             let report = Report { ready: message.report.ready, refused_percent: 0, servers };
-            let _ = self.reference.ask(&message.session, &FleetAsk::Report { report }, &mut Vec::new());
+            let _ = self.reference.ask(&message.session, &FleetCommand::Report { report }, &mut Vec::new());
         }
         if answered {
             match answer {
--- a/crates/mothpier-coordinator/src/core.rs
+++ b/crates/mothpier-coordinator/src/core.rs
@@ -7,7 +7,7 @@
 
 use mothpier_coordination::fleet::timers::Timers;
 use mothpier_coordination::wire::MemberChange;
-use mothpier_coordination::{Agreed, Answer, Command, Keeper, Request};
+use mothpier_coordination::{Answer, Command, ReplicatedState, Request, SessionExpiry};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, ConfState, Entry, EntryType, Message, Snapshot};
 use raft::storage::MemStorage;
@@ -104,8 +104,8 @@
     /// `None` once its disk has failed: this member says nothing more.
     store: Option<Store>,
     conf: ConfState,
-    agreed: Agreed,
-    keeper: Keeper,
+    agreed: ReplicatedState,
+    keeper: SessionExpiry,
     timers: Timers,
     /// The fleet may want other timers than it did.
     moved: bool,
@@ -139,8 +139,8 @@
         let meta = found.snapshot.get_metadata().clone();
         let joins = meta.index == 0;
         let agreed = match joins {
-            true => Agreed::default(),
-            false => Agreed::from_bytes(found.snapshot.get_data())
+            true => ReplicatedState::default(),
+            false => ReplicatedState::from_bytes(found.snapshot.get_data())
                 .map_err(|e| Trouble::Unusable(format!("the snapshot in the store: {e}")))?,
         };
         let lines = MemStorage::new();
@@ -174,7 +174,7 @@
             store: Some(store),
             conf: meta.get_conf_state().clone(),
             agreed,
-            keeper: Keeper::default(),
+            keeper: SessionExpiry::default(),
             timers: Timers::default(),
             moved: false,
             leads: false,
@@ -449,13 +449,13 @@
                 let _ = tell.send(false);
             }
             self.confirmed.clear();
-            self.keeper = Keeper::default();
+            self.keeper = SessionExpiry::default();
         }
         self.leads = leads;
     }
 
     fn take_over(&mut self, snapshot: Snapshot) -> Result<(), Trouble> {
-        self.agreed = Agreed::from_bytes(snapshot.get_data())
+        self.agreed = ReplicatedState::from_bytes(snapshot.get_data())
             .map_err(|e| Trouble::Unusable(format!("a snapshot of the leader's: {e}")))?;
         let meta = snapshot.get_metadata();
         (self.applied, self.snapshot_at) = (meta.index, meta.index);
@@ -570,7 +570,7 @@
     }
 
     /// What is agreed, as far as this member knows.
-    pub fn agreed(&self) -> &Agreed {
+    pub fn agreed(&self) -> &ReplicatedState {
         &self.agreed
     }
 
--- a/crates/mothpier-coordinator/src/lib.rs
+++ b/crates/mothpier-coordinator/src/lib.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 use mothpier_coordination::wire::{MemberChange, Status};
-use mothpier_coordination::{Agreed, Command};
+use mothpier_coordination::{Command, ReplicatedState};
 use mothpier_net::Net;
 use raft::eraftpb::Message;
 use tokio::sync::{Notify, mpsc};
@@ -53,7 +53,7 @@
 pub fn init(config: &Config) -> Result<(), Trouble> {
     let members: Vec<u64> = config.members.keys().copied().collect();
     let addresses = config.members.iter().map(|(id, at)| (*id, at.to_string())).collect();
-    let state = Agreed::founded(addresses).to_bytes();
+    let state = ReplicatedState::founded(addresses).to_bytes();
     Store::init(&config.folder, &config.cluster, config.member, &members, &state)
 }
 
--- a/crates/mothpier-sim/src/coordinators.rs
+++ b/crates/mothpier-sim/src/coordinators.rs
@@ -6,8 +6,11 @@
 use std::fmt::Write as _;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use mothpier_coordination::hold::CLOCK_ERROR;
-use mothpier_coordination::{Act, Agreed, Answer, Command, Fence, Floors, Hold, Obeyer, Refusal, Request};
+use mothpier_coordination::lease_validity::CLOCK_ERROR;
+use mothpier_coordination::{
+    Answer, Command, Fence, FenceFloors, FenceGuard, FencedAction, LeaseValidity, Refusal, ReplicatedState,
+    Request,
+};
 use mothpier_coordinator::core::{Core, ELECTION, Ended};
 use mothpier_coordinator::store::Store;
 use mothpier_world::Dice;
@@ -104,7 +107,7 @@
 enum Who {
     Member(usize),
     Client(usize),
-    Obeyer(usize),
+    FenceGuard(usize),
 }
 
 #[derive(Clone, Debug)]
@@ -117,7 +120,7 @@
     Answer(u64, Reply),
     Clock,
     Time(u64, u64),
-    Act(Act),
+    FencedAction(FencedAction),
     /// The act of that number was answered.
     Acted(u64),
 }
@@ -127,7 +130,7 @@
     Did(Answer),
     NotLeading,
     /// The lease's holder and fence, the floors, and the value's last change.
-    Read(Option<(String, Fence)>, Floors, u64),
+    Read(Option<(String, Fence)>, FenceFloors, u64),
 }
 
 enum Pending {
@@ -149,7 +152,7 @@
 struct Client {
     name: String,
     life: u64,
-    hold: Hold,
+    hold: LeaseValidity,
     clock: Clock,
     jumped: u64,
     stopped_until: u64,
@@ -179,7 +182,7 @@
 }
 
 struct Listener {
-    obeyer: Obeyer,
+    obeyer: FenceGuard,
     clock: Clock,
     asked: Option<(u64, u64)>,
     life: u64,
@@ -216,7 +219,7 @@
     let clock =
         |_: usize| Clock { from: dice.within(1 << 20, 1 << 30), rate: 1.0 + dice.between(-errs, errs) };
     let numbers: Vec<u64> = (1..=members as u64).collect();
-    let state = Agreed::founded(numbers.iter().map(|n| (*n, String::new())).collect()).to_bytes();
+    let state = ReplicatedState::founded(numbers.iter().map(|n| (*n, String::new())).collect()).to_bytes();
     let machine = |i: usize| {
         let disk = Disk::new(twin == Some(Twin::LyingDisk));
         Store::init_on(disk.clone(), "sim", i as u64 + 1, &numbers, &state).expect("a new disk");
@@ -251,8 +254,12 @@
         last_change: 0,
         next_at: 0,
     };
-    let listener =
-        |i: usize| Listener { obeyer: Obeyer::new(format!("{i}-0")), clock: clock(i), asked: None, life: 0 };
+    let listener = |i: usize| Listener {
+        obeyer: FenceGuard::new(format!("{i}-0")),
+        clock: clock(i),
+        asked: None,
+        life: 0,
+    };
     let mut world = World {
         now: 0,
         twin,
@@ -281,8 +288,12 @@
     world.played
 }
 
-fn hold(twin: Option<Twin>) -> Hold {
-    if twin == Some(Twin::DriftBeyondTheBound) { Hold::keeping_off(TTL, 0) } else { Hold::new(TTL) }
+fn hold(twin: Option<Twin>) -> LeaseValidity {
+    if twin == Some(Twin::DriftBeyondTheBound) {
+        LeaseValidity::keeping_off(TTL, 0)
+    } else {
+        LeaseValidity::new(TTL)
+    }
 }
 
 impl World {
@@ -375,9 +386,9 @@
                 let i = self.dice.within(0, self.listeners.len() as u64) as usize;
                 let l = &mut self.listeners[i];
                 l.life += 1;
-                (l.obeyer, l.asked) = (Obeyer::new(format!("{i}-{}", l.life)), None);
+                (l.obeyer, l.asked) = (FenceGuard::new(format!("{i}-{}", l.life)), None);
                 if self.twin == Some(Twin::ObeysFromNothing) {
-                    l.obeyer.learn(Floors::default());
+                    l.obeyer.learn(FenceFloors::default());
                 }
             }
         }
@@ -549,13 +560,13 @@
                 }
                 self.heard(i, from, what);
             }
-            (Who::Obeyer(i), What::Clock) => {
+            (Who::FenceGuard(i), What::Clock) => {
                 let l = &self.listeners[i];
                 let (life, time) = (l.life, l.clock.at(self.now));
                 self.send(to, from, What::Time(life, time));
             }
-            (Who::Obeyer(i), What::Act(act)) => self.act(from, i, &act),
-            (Who::Obeyer(i), What::Answer(number, reply)) => {
+            (Who::FenceGuard(i), What::FencedAction(act)) => self.act(from, i, &act),
+            (Who::FenceGuard(i), What::Answer(number, reply)) => {
                 let l = &mut self.listeners[i];
                 if l.asked.is_some_and(|(n, _)| n == number) {
                     l.asked = None;
@@ -569,7 +580,7 @@
     }
 
     /// What a far end obeys is what is judged.
-    fn act(&mut self, from: Who, i: usize, act: &Act) {
+    fn act(&mut self, from: Who, i: usize, act: &FencedAction) {
         let l = &mut self.listeners[i];
         let now = l.clock.at(self.now);
         let obeyed = match self.twin {
@@ -579,7 +590,7 @@
             _ => l.obeyer.obey(act, now),
         };
         let Who::Client(whose) = from else { return };
-        self.send(Who::Obeyer(i), from, What::Acted(act.number));
+        self.send(Who::FenceGuard(i), from, What::Acted(act.number));
         (self.now, i, act.fence, obeyed.is_ok()).hash(&mut self.hash);
         if obeyed.is_err() {
             return;
@@ -609,7 +620,7 @@
         let number = self.numbers;
         self.listeners[i].asked = Some((number, self.now));
         let to = self.dice.within(0, self.machines.len() as u64) as usize;
-        self.send(Who::Obeyer(i), Who::Member(to), What::Read(number));
+        self.send(Who::FenceGuard(i), Who::Member(to), What::Read(number));
     }
 
     fn ask(&mut self, i: usize, asked: Asked) {
@@ -717,7 +728,7 @@
         }
         let to = self.dice.within(0, self.listeners.len() as u64) as usize;
         self.clients[i].waits_for_time = Some((to, now));
-        self.send(Who::Client(i), Who::Obeyer(to), What::Clock);
+        self.send(Who::Client(i), Who::FenceGuard(to), What::Clock);
     }
 
     fn heard(&mut self, i: usize, from: Who, what: What) {
@@ -726,7 +737,7 @@
         let local = c.clock.at(now) - c.jumped;
         match what {
             What::Time(life, time) => {
-                let Who::Obeyer(j) = from else { return };
+                let Who::FenceGuard(j) = from else { return };
                 if c.waits_for_time.is_none_or(|(to, _)| to != j) {
                     return;
                 }
@@ -736,7 +747,7 @@
                 self.numbers += 1;
                 c.out.0.insert(self.numbers);
                 c.out.1 = c.out.1.max(local + left);
-                let act = Act {
+                let act = FencedAction {
                     lease: LEASE.into(),
                     fence,
                     clock: format!("{j}-{life}"),
@@ -745,9 +756,9 @@
                 };
                 if self.now < TROUBLE && self.dice.chance(STOPS) {
                     let stopped = self.dice.within(1, 2 * TTL);
-                    return self.arrive(stopped, Who::Client(i), from, What::Act(act));
+                    return self.arrive(stopped, Who::Client(i), from, What::FencedAction(act));
                 }
-                self.send(Who::Client(i), from, What::Act(act));
+                self.send(Who::Client(i), from, What::FencedAction(act));
             }
             What::Acted(number) => drop(c.out.0.remove(&number)),
             What::Answer(number, reply) => {
--- a/crates/mothpier-sim/src/drains.rs
+++ b/crates/mothpier-sim/src/drains.rs
@@ -6,11 +6,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mothpier_coordination::fleet::ask::{
-    AuditNote, FleetAnswer, FleetAsk, FleetRefusal, Kind, Listed, Stage, Subject, Then,
-};
 use mothpier_coordination::fleet::follow::{Effect, Follower};
 use mothpier_coordination::fleet::limits::{Bound, Limits};
+use mothpier_coordination::fleet::messages::{
+    AuditNote, FleetCommand, FleetRefusal, FleetResponse, Kind, Listed, Stage, Subject, Then,
+};
 use mothpier_coordination::fleet::reporter::{Reporter, ready_list};
 use mothpier_coordination::fleet::timers::Timers;
 use mothpier_coordination::fleet::{Condition, Fleet};
@@ -101,9 +101,9 @@
     cut_until: u64,
     stopped_until: u64,
     /// A copy of the drains on its way, and when it comes.
-    reads: Option<(u64, Vec<mothpier_coordination::fleet::ask::Told>)>,
+    reads: Option<(u64, Vec<mothpier_coordination::fleet::messages::Told>)>,
     /// What it has asked: when that comes, when it is sent again, and what.
-    asks: Option<(u64, u64, FleetAsk)>,
+    asks: Option<(u64, u64, FleetCommand)>,
     joined: bool,
     reporter: Reporter,
     /// The list that its reporter has, by number, and the cache servers in it.
@@ -116,7 +116,7 @@
 struct LateCopy {
     at: u64,
     session: String,
-    ask: FleetAsk,
+    ask: FleetCommand,
 }
 
 struct Server {
@@ -255,12 +255,12 @@
             calm_ms: Some(1_000),
             ..Limits::default()
         };
-        let _ = self.command("staff", &FleetAsk::Limits { limits, note: note() });
+        let _ = self.command("staff", &FleetCommand::Limits { limits, note: note() });
         while self.now < self.size.end && self.played.broken.is_empty() {
             self.now += STEP;
             self.trouble();
             if self.fleet.halt.as_ref().is_some_and(|h| !h.by_itself) && self.now >= self.resume_at {
-                let _ = self.command("staff", &FleetAsk::Resume { note: note() });
+                let _ = self.command("staff", &FleetCommand::Resume { note: note() });
             }
             if self.now >= self.away_until {
                 self.leader();
@@ -309,7 +309,7 @@
     }
 
     /// Commits a command, and counts what it grants from what is there.
-    fn command(&mut self, session: &str, ask: &FleetAsk) -> Result<FleetAnswer, FleetRefusal> {
+    fn command(&mut self, session: &str, ask: &FleetCommand) -> Result<FleetResponse, FleetRefusal> {
         let before = self.granted();
         let halted = self.fleet.halt.is_some();
         self.played.commands += 1;
@@ -401,7 +401,7 @@
             _ => self.late = if self.dice.chance(0.5) { 20 } else { self.dice.within(20, 1_500) },
         }
         if self.dice.chance(0.05) {
-            let _ = self.command("staff", &FleetAsk::Halt { note: note() });
+            let _ = self.command("staff", &FleetCommand::Halt { note: note() });
             self.resume_at = self.now + self.dice.within(200, 3_000);
         }
     }
@@ -491,8 +491,8 @@
     }
 
     /// The later copy of a report that a node sends twice.
-    fn send_late(&mut self, i: usize, at: u64, ask: &FleetAsk) {
-        let FleetAsk::NumberedReport { .. } = ask else { return };
+    fn send_late(&mut self, i: usize, at: u64, ask: &FleetCommand) {
+        let FleetCommand::NumberedReport { .. } = ask else { return };
         let Some((session, _)) = self.machines[i].session.clone() else { return };
         self.late_copies.push(LateCopy { at, session, ask: ask.clone() });
     }
@@ -509,9 +509,9 @@
     }
 
     /// What a node asks next.
-    fn next(&mut self, i: usize) -> Option<FleetAsk> {
+    fn next(&mut self, i: usize) -> Option<FleetCommand> {
         if !self.machines[i].joined {
-            return Some(FleetAsk::Join { node: node(i), zone: format!("z{}", i % 3) });
+            return Some(FleetCommand::Join { node: node(i), zone: format!("z{}", i % 3) });
         }
         if self.machines[i].list.0 != self.lists {
             self.new_list(i);
@@ -520,10 +520,10 @@
         let ready = machine.serves && !machine.effect.empty;
         if let Some(report) = machine.reporter.next(ready, 0) {
             machine.reported.clone_from(&machine.list.1);
-            return Some(FleetAsk::NumberedReport { report });
+            return Some(FleetCommand::NumberedReport { report });
         }
         let confirms = machine.follower.confirms(&machine.effect);
-        confirms.first().map(|(drain, turn)| FleetAsk::Confirm { drain: *drain, turn: *turn })
+        confirms.first().map(|(drain, turn)| FleetCommand::Confirm { drain: *drain, turn: *turn })
     }
 
     fn new_list(&mut self, i: usize) {
@@ -540,8 +540,8 @@
     }
 
     /// A node's ask is committed.
-    fn arrives(&mut self, i: usize, ask: &FleetAsk) {
-        if let FleetAsk::Join { .. } = ask {
+    fn arrives(&mut self, i: usize, ask: &FleetCommand) {
+        if let FleetCommand::Join { .. } = ask {
             self.machines[i].lives += 1;
             let session = format!("{}-{}", node(i), self.machines[i].lives);
             self.machines[i].session = Some((session, self.now + TTL));
@@ -553,18 +553,20 @@
         let answer = self.command(&session, ask);
         let machine = &mut self.machines[i];
         match ask {
-            FleetAsk::Join { .. } => {
+            FleetCommand::Join { .. } => {
                 machine.joined = answer.is_ok();
                 (machine.reporter, machine.list) = (Reporter::default(), (0, BTreeSet::new()));
                 machine.follower.joined();
             }
-            FleetAsk::NumberedReport { report } => self.report_answered(i, report.number, answer),
-            FleetAsk::Confirm { drain, turn } if answer.is_ok() => machine.follower.confirmed(*drain, *turn),
+            FleetCommand::NumberedReport { report } => self.report_answered(i, report.number, answer),
+            FleetCommand::Confirm { drain, turn } if answer.is_ok() => {
+                machine.follower.confirmed(*drain, *turn)
+            }
             _ => {}
         }
     }
 
-    fn report_answered(&mut self, i: usize, number: u64, answer: Result<FleetAnswer, FleetRefusal>) {
+    fn report_answered(&mut self, i: usize, number: u64, answer: Result<FleetResponse, FleetRefusal>) {
         let machine = &mut self.machines[i];
         match answer {
             Ok(_) => {
@@ -616,7 +618,7 @@
         let drain = screen.get(&subject).copied();
         self.people[i].state = match (state, drain) {
             (Doing::Waits, _) => {
-                let ask = FleetAsk::Drain {
+                let ask = FleetCommand::Drain {
                     subject,
                     note: note(),
                     for_ms: None,
@@ -645,7 +647,7 @@
             }
             (Doing::Asked(since), Some(_)) if hasty && self.now > since + 300 => Doing::Works(self.now),
             (Doing::Works(until), _) if until <= self.now => {
-                let _ = self.command("staff", &FleetAsk::Back { subject, note: note() });
+                let _ = self.command("staff", &FleetCommand::Back { subject, note: note() });
                 if hasty {
                     // And out again in the midst, and back.
                     self.people[i].hasty = false;
--- a/crates/mothpier-trials/src/contender.rs
+++ b/crates/mothpier-trials/src/contender.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use clap::Args;
-use mothpier_coordination::Act;
+use mothpier_coordination::FencedAction;
 use mothpier_coordination_client::{Acting, Client, Session};
 use mothpier_net::{Net, Tokio};
 use mothpier_world::Dice;
@@ -78,7 +78,7 @@
             let now_ms = clock.now_ms;
             let act = session.act(&granted, Acting { clock: clock.clock.clone(), now_ms });
             let act = match act {
-                _ if told.unfenced => Act {
+                _ if told.unfenced => FencedAction {
                     lease: told.lease.clone(),
                     fence: (Tokio.boot_time().as_millis() as u64) << GRANT_BITS | granted.fence,
                     clock: clock.clock,
--- a/crates/mothpier-trials/src/drains.rs
+++ b/crates/mothpier-trials/src/drains.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use mothpier_coordination::fleet::Fleet;
-use mothpier_coordination::fleet::ask::{Kind, Stage};
+use mothpier_coordination::fleet::messages::{Kind, Stage};
 use mothpier_world::Dice;
 use mothpier_world::loopback::{self, Discovery};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
--- a/crates/mothpier-trials/src/opening.rs
+++ b/crates/mothpier-trials/src/opening.rs
@@ -5,7 +5,7 @@
 use std::sync::PoisonError;
 use std::time::{Duration, Instant};
 
-use mothpier_coordination::fleet::ask::{AuditNote, FleetAnswer, FleetAsk, Stage, Subject, Then};
+use mothpier_coordination::fleet::messages::{AuditNote, FleetCommand, FleetResponse, Stage, Subject, Then};
 use mothpier_coordination_client::{Client, Session};
 use mothpier_net::Tokio;
 use tokio::task::spawn_local;
@@ -152,7 +152,7 @@
     let mut all = Vec::new();
     for i in 0..DRAINS {
         let subject = Subject::server(&format!("s-{}", i % servers));
-        let drain = FleetAsk::Drain {
+        let drain = FleetCommand::Drain {
             subject: subject.clone(),
             note: note(),
             for_ms: None,
@@ -162,7 +162,7 @@
         };
         let began = Instant::now();
         let answer = session.fleet(drain).await.map_err(|l| l.to_string())?.map_err(|r| r.to_string())?;
-        let FleetAnswer::Drain { number, .. } = answer else { return Err("no drain".into()) };
+        let FleetResponse::Drain { number, .. } = answer else { return Err("no drain".into()) };
         loop {
             let fleet = client.fleet(Instant::now() + PATIENCE).await?.fleet;
             if fleet.drains.get(&number).is_none_or(|d| d.stage >= Stage::Out) {
@@ -171,7 +171,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         all.push(began.elapsed().as_secs_f64() * 1000.0);
-        let back = FleetAsk::Back { subject, note: note() };
+        let back = FleetCommand::Back { subject, note: note() };
         session.fleet(back).await.map_err(|l| l.to_string())?.map_err(|r| r.to_string())?;
         tokio::time::sleep(Duration::from_millis(900)).await;
     }
--- a/crates/mothpier-trials/src/scale/hollow.rs
+++ b/crates/mothpier-trials/src/scale/hollow.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use mothpier_coordination::Change;
-use mothpier_coordination::fleet::ask::{FleetAsk, FleetRefusal};
 use mothpier_coordination::fleet::follow::{Effect, Follower};
+use mothpier_coordination::fleet::messages::{FleetCommand, FleetRefusal};
 use mothpier_coordination::fleet::reporter::Reporter;
 use mothpier_coordination_client::{Client, Seen, Session};
 use mothpier_net::Net;
@@ -203,7 +203,7 @@
     /// Joins, and tells and confirms what changes, until the session is over.
     async fn report(&self, session: &Session<LinkNet>) -> Result<(), String> {
         let zone = format!("region-{}", self.plan.region);
-        let join = FleetAsk::Join { node: self.plan.name.clone(), zone };
+        let join = FleetCommand::Join { node: self.plan.name.clone(), zone };
         let joined = session.fleet(join).await.map_err(|lost| lost.to_string())?;
         joined.map_err(|why| why.to_string())?;
         *self.joined.borrow_mut() = Some(session.name.clone());
@@ -221,7 +221,7 @@
             let effect = Effect { out: self.out.borrow().clone(), empty };
             let confirms = self.follower.borrow().confirms(&effect);
             for (drain, turn) in confirms {
-                self.ask(session, FleetAsk::Confirm { drain, turn }).await?;
+                self.ask(session, FleetCommand::Confirm { drain, turn }).await?;
                 self.follower.borrow_mut().confirmed(drain, turn);
             }
             self.net().sleep(LOOK).await;
@@ -246,7 +246,7 @@
     ) -> Result<(), String> {
         let Some(report) = reporter.next(ready, 0) else { return Ok(()) };
         let (number, ready) = (report.number, report.ready);
-        let answer = session.fleet(FleetAsk::NumberedReport { report }).await;
+        let answer = session.fleet(FleetCommand::NumberedReport { report }).await;
         match answer.map_err(|lost| lost.to_string())? {
             Ok(_) => {
                 reporter.accepted(number);
@@ -286,7 +286,7 @@
         self.in_danger.set(in_danger);
     }
 
-    async fn ask(&self, session: &Session<LinkNet>, ask: FleetAsk) -> Result<(), String> {
+    async fn ask(&self, session: &Session<LinkNet>, ask: FleetCommand) -> Result<(), String> {
         match session.fleet(ask).await.map_err(|lost| lost.to_string())? {
             Ok(_) => Ok(()),
             Err(why @ FleetRefusal::NoNode) => Err(why.to_string()),
--- a/crates/mothpier-trials/src/scale/judge.rs
+++ b/crates/mothpier-trials/src/scale/judge.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use mothpier_coordination::Revision;
-use mothpier_coordination::fleet::ask::{FleetChange, Kind, Stage, Subject};
+use mothpier_coordination::fleet::messages::{FleetChange, Kind, Stage, Subject};
 use mothpier_coordination::fleet::{Fleet, Node};
 use serde::{Deserialize, Serialize};
 
--- a/crates/mothpier-trials/src/scale/judge/tests.rs
+++ b/crates/mothpier-trials/src/scale/judge/tests.rs
@@ -1,6 +1,6 @@
 use std::time::{Duration, Instant};
 
-use mothpier_coordination::fleet::ask::{FleetChange, Stage, Subject, Told};
+use mothpier_coordination::fleet::messages::{FleetChange, Stage, Subject, Told};
 
 use super::{Cut, Evidence, Reading, Verdict, judge};
 use crate::scale::shared::{Event, NodeEvent};
--- a/crates/mothpier-trials/src/scale/kind/tests.rs
+++ b/crates/mothpier-trials/src/scale/kind/tests.rs
@@ -1,4 +1,4 @@
-use mothpier_coordination::fleet::ask::{FleetAsk, NumberedReport, Report, ReportedServers};
+use mothpier_coordination::fleet::messages::{FleetCommand, NumberedReport, Report, ReportedServers};
 use mothpier_coordination::wire::Call;
 use mothpier_coordination::{Command, Request};
 
@@ -11,7 +11,7 @@
     bytes
 }
 
-fn asked(what: FleetAsk) -> Vec<u8> {
+fn asked(what: FleetCommand) -> Vec<u8> {
     sent(Command::Ask {
         session: "node:region-3/node-17:01234567".into(),
         number: 7,
@@ -25,12 +25,12 @@
     assert_eq!(CallKind::of(&sent(Command::Renew { session: "s".into() })), CallKind::Renew);
     assert_eq!(CallKind::of(&sent(Command::Close { session: "s".into() })), CallKind::OtherCommand);
     let report = Report { ready: true, refused_percent: 0, servers: Some(Vec::new()) };
-    assert_eq!(CallKind::of(&asked(FleetAsk::Report { report })), CallKind::Report);
+    assert_eq!(CallKind::of(&asked(FleetCommand::Report { report })), CallKind::Report);
     let report =
         NumberedReport { number: 1, ready: true, refused_percent: 0, servers: ReportedServers::Unknown };
-    assert_eq!(CallKind::of(&asked(FleetAsk::NumberedReport { report })), CallKind::Report);
-    assert_eq!(CallKind::of(&asked(FleetAsk::Confirm { drain: 1, turn: 2 })), CallKind::Confirm);
-    let join = FleetAsk::Join { node: "n".into(), zone: String::new() };
+    assert_eq!(CallKind::of(&asked(FleetCommand::NumberedReport { report })), CallKind::Report);
+    assert_eq!(CallKind::of(&asked(FleetCommand::Confirm { drain: 1, turn: 2 })), CallKind::Confirm);
+    let join = FleetCommand::Join { node: "n".into(), zone: String::new() };
     assert_eq!(CallKind::of(&asked(join)), CallKind::Join);
     assert_eq!(CallKind::of(b"GET /v1/watch?after=3&wait_ms=5000 HTTP/1.1\r\n"), CallKind::Watch);
     assert_eq!(CallKind::of(b"GET /v1/drains HTTP/1.1\r\n"), CallKind::Drains);
--- a/crates/mothpier-trials/src/scale/observer.rs
+++ b/crates/mothpier-trials/src/scale/observer.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use mothpier_coordination::fleet::Fleet;
-use mothpier_coordination::fleet::ask::{FleetChange, Stage};
+use mothpier_coordination::fleet::messages::{FleetChange, Stage};
 use mothpier_coordination::{Change, Revision};
 use mothpier_coordination_client::{Client, Seen};
 use mothpier_net::Tokio;
--- a/crates/mothpier-trials/src/scale/plan.rs
+++ b/crates/mothpier-trials/src/scale/plan.rs
@@ -1,6 +1,6 @@
 //! Who takes part in a trial of scale and what its chance is: drawn from a seed. Pure.
 
-use mothpier_coordination::fleet::ask::Listed;
+use mothpier_coordination::fleet::messages::Listed;
 use mothpier_world::Dice;
 use serde::Serialize;
 
--- a/crates/mothpier-trials/src/scale/scenario.rs
+++ b/crates/mothpier-trials/src/scale/scenario.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use clap::ValueEnum;
-use mothpier_coordination::fleet::ask::{Listed, Stage, Subject};
 use mothpier_coordination::fleet::limits::{Bound, Limits};
+use mothpier_coordination::fleet::messages::{Listed, Stage, Subject};
 use mothpier_coordination_client::Client;
 use mothpier_net::Tokio;
 
@@ -507,7 +507,7 @@
         watches_lost: count(&|e| matches!(e.what, NodeEvent::WatchLost)),
         refused,
         halts: {
-            let halted = mothpier_coordination::fleet::ask::FleetChange::Halted { halted: true };
+            let halted = mothpier_coordination::fleet::messages::FleetChange::Halted { halted: true };
             evidence.changes.iter().filter(|(_, change)| *change == halted).count()
         },
         verdict,
--- a/crates/mothpier-trials/src/scale/shared.rs
+++ b/crates/mothpier-trials/src/scale/shared.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::time::{Duration, Instant};
 
-use mothpier_coordination::fleet::ask::Listed;
+use mothpier_coordination::fleet::messages::Listed;
 use mothpier_coordination::fleet::reporter::{ReadyList, ready_list};
 
 use super::tally::Tally;
--- a/crates/mothpier-trials/src/scale/staff.rs
+++ b/crates/mothpier-trials/src/scale/staff.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mothpier_coordination::fleet::ask::{AuditNote, FleetAnswer, FleetAsk, Subject, Then};
 use mothpier_coordination::fleet::limits::Limits;
+use mothpier_coordination::fleet::messages::{AuditNote, FleetCommand, FleetResponse, Subject, Then};
 use mothpier_coordination_client::{Client, Session};
 use mothpier_net::Tokio;
 
@@ -32,7 +32,7 @@
         Ok(Staff { session: Session::open(client, name, TTL, OPEN_WITHIN).await? })
     }
 
-    async fn ask(&self, what: FleetAsk) -> Result<FleetAnswer, String> {
+    async fn ask(&self, what: FleetCommand) -> Result<FleetResponse, String> {
         let answered = self.session.fleet(what).await.map_err(|lost| lost.to_string())?;
         answered.map_err(|refusal| refusal.to_string())
     }
@@ -43,7 +43,7 @@
     ///
     /// They are refused.
     pub async fn limits(&self, limits: Limits) -> Result<(), String> {
-        self.ask(FleetAsk::Limits { limits, note: note() }).await.map(drop)
+        self.ask(FleetCommand::Limits { limits, note: note() }).await.map(drop)
     }
 
     /// Asks for a drain that waits for its place; its number.
@@ -52,7 +52,7 @@
     ///
     /// It is refused.
     pub async fn drain(&self, subject: Subject) -> Result<u64, String> {
-        let ask = FleetAsk::Drain {
+        let ask = FleetCommand::Drain {
             subject,
             note: note(),
             for_ms: None,
@@ -61,8 +61,8 @@
             force: false,
         };
         match self.ask(ask).await? {
-            FleetAnswer::Drain { number, .. } => Ok(number),
-            FleetAnswer::Done => Err("a drain without a number".into()),
+            FleetResponse::Drain { number, .. } => Ok(number),
+            FleetResponse::Done => Err("a drain without a number".into()),
         }
     }
 
@@ -72,6 +72,6 @@
     ///
     /// It is refused.
     pub async fn back(&self, subject: Subject) -> Result<(), String> {
-        self.ask(FleetAsk::Back { subject, note: note() }).await.map(drop)
+        self.ask(FleetCommand::Back { subject, note: note() }).await.map(drop)
     }
 }
--- a/crates/mothpier/src/admin_listener.rs
+++ b/crates/mothpier/src/admin_listener.rs
@@ -15,7 +15,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use mothpier_coordination::Act;
+use mothpier_coordination::FencedAction;
 use mothpier_membership::admin_drain::MOST_ID;
 use mothpier_net::{Listener, Net, Stream, Task};
 
@@ -137,7 +137,7 @@
 }
 
 /// The lease in whose name a call is made, where its head names one.
-fn act(request: &Request<Incoming>) -> Result<Option<Act>, Box<Response<Full<Bytes>>>> {
+fn act(request: &Request<Incoming>) -> Result<Option<FencedAction>, Box<Response<Full<Bytes>>>> {
     let Some(named) = request.headers().get(ACT) else { return Ok(None) };
     let act = serde_json::from_slice(named.as_bytes());
     act.map(Some).map_err(|e| answer(StatusCode::BAD_REQUEST, format!("{ACT} can't be read: {e}\n")).into())
--- a/crates/mothpier/src/drains.rs
+++ b/crates/mothpier/src/drains.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use mothpier_coordination::Change;
-use mothpier_coordination::fleet::ask::{FleetAsk, FleetRefusal, Listed};
 use mothpier_coordination::fleet::follow::{Effect, Follower};
+use mothpier_coordination::fleet::messages::{FleetCommand, FleetRefusal, Listed};
 use mothpier_coordination::fleet::reporter::{ReadyList, Reporter, ready_list};
 use mothpier_coordination_client::{Client, Seen, Session};
 use mothpier_membership::ServerRecord;
@@ -236,7 +236,7 @@
 
     /// Joins the fleet, then reports and confirms changes until the session ends.
     async fn run_session(&self, session: &Session<N>) -> Result<(), String> {
-        let join = FleetAsk::Join { node: self.node.clone(), zone: self.config.zone.clone() };
+        let join = FleetCommand::Join { node: self.node.clone(), zone: self.config.zone.clone() };
         let joined = session.fleet(join).await.map_err(|error| error.to_string())?;
         joined.map_err(|reason| reason.to_string())?;
         *self.joined_session.borrow_mut() = Some(session.name.clone());
@@ -252,7 +252,7 @@
             let other_process_serves = self.operations.succession.as_ref().is_some_and(|s| s.accompanied());
             if !other_process_serves || self.net().since(self.effect_since.get()) >= OTHER_PROCESS_DELAY {
                 for (drain, turn) in confirms {
-                    self.send(session, FleetAsk::Confirm { drain, turn }).await?;
+                    self.send(session, FleetCommand::Confirm { drain, turn }).await?;
                     self.follower.borrow_mut().confirmed(drain, turn);
                 }
             }
@@ -281,7 +281,7 @@
         let ready = self.operations.phase.ready().is_ok();
         let Some(report) = reporter.next(ready, self.refused_share_percent()) else { return Ok(()) };
         let number = report.number;
-        let answer = session.fleet(FleetAsk::NumberedReport { report }).await;
+        let answer = session.fleet(FleetCommand::NumberedReport { report }).await;
         match answer.map_err(|error| error.to_string())? {
             Ok(_) => reporter.accepted(number),
             // The next report contains the whole list.
@@ -295,7 +295,7 @@
         Ok(())
     }
 
-    async fn send(&self, session: &Session<N>, ask: FleetAsk) -> Result<(), String> {
+    async fn send(&self, session: &Session<N>, ask: FleetCommand) -> Result<(), String> {
         match session.fleet(ask).await.map_err(|error| error.to_string())? {
             Ok(_) => Ok(()),
             Err(reason @ FleetRefusal::NoNode) => Err(reason.to_string()),
--- a/crates/mothpier/src/handover.rs
+++ b/crates/mothpier/src/handover.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mothpier_coordination::{Floors, Obeyer};
+use mothpier_coordination::{FenceFloors, FenceGuard};
 use serde::{Deserialize, Serialize};
 
 use crate::messages::ServerList;
@@ -37,7 +37,7 @@
     listed: u64,
     /// The lowest fences that may act.
     #[serde(default)]
-    pub(crate) floors: Floors,
+    pub(crate) floors: FenceFloors,
     /// Who the fleet has drained, as this node last knew it, and when that was.
     #[serde(default)]
     drained: Drained,
@@ -84,8 +84,8 @@
     }
 
     /// Fences have been seen: none is lowered.
-    pub fn obeyed(&mut self, floors: &Floors) {
-        let mut both = Obeyer::default();
+    pub fn obeyed(&mut self, floors: &FenceFloors) {
+        let mut both = FenceGuard::default();
         both.learn(self.floors.clone());
         both.learn(floors.clone());
         self.floors = both.handed_over().cloned().unwrap_or_default();
--- a/crates/mothpier/src/lease_authority.rs
+++ b/crates/mothpier/src/lease_authority.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mothpier_coordination::{Act, Change, Floors, Obeyer};
+use mothpier_coordination::{Change, FenceFloors, FenceGuard, FencedAction};
 use mothpier_coordination_client::{Client, Seen};
 use mothpier_net::Net;
 
@@ -25,7 +25,7 @@
 pub struct LeaseAuthority<N: Net> {
     net: N,
     client: Rc<Client<N>>,
-    obeyer: RefCell<Obeyer>,
+    obeyer: RefCell<FenceGuard>,
     handover: Option<Rc<ProcessHandover>>,
 }
 
@@ -41,7 +41,7 @@
         handover: Option<Rc<ProcessHandover>>,
     ) -> Result<Rc<Self>, String> {
         let client = Client::new(net.clone(), coordination.cluster, coordination.coordinators)?;
-        let obeyer = RefCell::new(Obeyer::new(client.draw_name()));
+        let obeyer = RefCell::new(FenceGuard::new(client.draw_name()));
         Ok(Rc::new(LeaseAuthority { net, client, obeyer, handover }))
     }
 
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// Why the command is refused.
-    pub fn obey(&self, act: &Act) -> Result<(), String> {
+    pub fn obey(&self, act: &FencedAction) -> Result<(), String> {
         let now = self.clock_ms();
         let obeyed = self.obeyer.borrow_mut().obey(act, now);
         if obeyed.is_ok() {
@@ -76,7 +76,7 @@
     }
 
     /// Raises the lowest valid fences to those given; none is lowered.
-    fn raise_floors(&self, floors: Floors) {
+    fn raise_floors(&self, floors: FenceFloors) {
         self.obeyer.borrow_mut().learn(floors);
         self.store_floors();
     }
@@ -126,7 +126,7 @@
         {
             for (_, change) in changes {
                 if let Change::Granted { lease, fence, .. } = change {
-                    self.raise_floors(Floors { others: 0, held: [(lease, fence)].into() });
+                    self.raise_floors(FenceFloors { others: 0, held: [(lease, fence)].into() });
                 }
             }
             revision = next;
--- a/crates/mothpier/src/operations.rs
+++ b/crates/mothpier/src/operations.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mothpier_coordination::Act;
+use mothpier_coordination::FencedAction;
 use mothpier_membership::admin_drain::AdminDrainError;
 use mothpier_net::Net;
 use tokio::sync::{mpsc, oneshot};
@@ -69,7 +69,7 @@
 
 impl<N: Net> Operations<N> {
     /// Carries out a call, in the name of a lease where one is named.
-    pub async fn call(self: Rc<Self>, call: Call, act: Option<Act>) -> Reply {
+    pub async fn call(self: Rc<Self>, call: Call, act: Option<FencedAction>) -> Reply {
         let succession =
             self.succession.clone().filter(|_| !matches!(call, Call::Ready | Call::Figures | Call::Clock));
         let _turn = match &succession {
--- a/crates/mothpier/src/process_handover.rs
+++ b/crates/mothpier/src/process_handover.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mothpier_coordination::Floors;
+use mothpier_coordination::FenceFloors;
 use mothpier_net::Net;
 use tokio::sync::{Mutex, MutexGuard, oneshot};
 
@@ -129,7 +129,7 @@
     }
 
     /// The fences that an earlier process, or the one beside this, has seen.
-    pub fn floors(&self) -> Floors {
+    pub fn floors(&self) -> FenceFloors {
         self.state.borrow().floors.clone()
     }
 
--- a/crates/mothpierctl/src/fleet.rs
+++ b/crates/mothpierctl/src/fleet.rs
@@ -7,8 +7,8 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 use mothpier_coordination::fleet::Fleet;
-use mothpier_coordination::fleet::ask::{
-    AuditNote, FleetAnswer, FleetAsk, FleetRefusal, Kind, Stage, Subject, Then as AtTheEnd,
+use mothpier_coordination::fleet::messages::{
+    AuditNote, FleetCommand, FleetRefusal, FleetResponse, Kind, Stage, Subject, Then as AtTheEnd,
 };
 use mothpier_coordination_client::{Client, Session};
 use mothpier_net::{Net, Tokio};
@@ -188,7 +188,7 @@
 }
 
 /// Asks once, however often it has to be sent.
-async fn ask(client: &Coordinators, what: FleetAsk) -> Result<Result<FleetAnswer, FleetRefusal>, u8> {
+async fn ask(client: &Coordinators, what: FleetCommand) -> Result<Result<FleetResponse, FleetRefusal>, u8> {
     let name = format!("staff:{}", client.draw_name());
     let session = Session::open(client.clone(), name, TTL, ASK).await.map_err(|why| {
         eprintln!("mothpierctl: not done: {why}");
@@ -203,7 +203,7 @@
 }
 
 /// Asks, and says what came of it.
-async fn told(client: &Coordinators, what: FleetAsk, done: &str) -> Result<u8, String> {
+async fn told(client: &Coordinators, what: FleetCommand, done: &str) -> Result<u8, String> {
     match ask(client, what).await {
         Ok(Ok(_)) => print(&format!("{done}\n")),
         Ok(Err(why)) => Ok(refused(&why)),
@@ -274,7 +274,7 @@
             Call::Status { watch, at } => status(&client(at)?, watch, out).await,
             Call::Drain { what, who, lasts, then, wait, force, at } => {
                 let (client, subject) = (client(at)?, what.subject());
-                let drain = FleetAsk::Drain {
+                let drain = FleetCommand::Drain {
                     subject: subject.clone(),
                     note: who.note(),
                     for_ms: lasts.map(|l| l.as_millis() as u64),
@@ -283,7 +283,7 @@
                     force,
                 };
                 match ask(&client, drain).await {
-                    Ok(Ok(FleetAnswer::Drain { number, stage })) => {
+                    Ok(Ok(FleetResponse::Drain { number, stage })) => {
                         let line = if out.json {
                             format!("{}\n", json!({"drain": number, "stage": stage}))
                         } else {
@@ -299,8 +299,8 @@
             }
             Call::Back { what, who, wait, at } => {
                 let (client, subject) = (client(at)?, what.subject());
-                match ask(&client, FleetAsk::Back { subject: subject.clone(), note: who.note() }).await {
-                    Ok(Ok(FleetAnswer::Drain { number, .. })) => {
+                match ask(&client, FleetCommand::Back { subject: subject.clone(), note: who.note() }).await {
+                    Ok(Ok(FleetResponse::Drain { number, .. })) => {
                         print(&format!("{subject} comes back\n"))?;
                         if wait { follow(&client, number, None).await } else { Ok(GOOD) }
                     }
@@ -311,20 +311,20 @@
             }
             Call::Halt { who, at } => {
                 let done = "halted: nothing more goes out, and what is on its way comes back";
-                told(&client(at)?, FleetAsk::Halt { note: who.note() }, done).await
+                told(&client(at)?, FleetCommand::Halt { note: who.note() }, done).await
             }
             Call::Resume { who, at } => {
-                told(&client(at)?, FleetAsk::Resume { note: who.note() }, "resumed").await
+                told(&client(at)?, FleetCommand::Resume { note: who.note() }, "resumed").await
             }
             Call::Forget { what, who, at } => {
                 let subject = what.subject();
                 let done = format!("{subject} belongs to the fleet no more");
-                told(&client(at)?, FleetAsk::Forget { subject, note: who.note() }, &done).await
+                told(&client(at)?, FleetCommand::Forget { subject, note: who.note() }, &done).await
             }
             Call::Limits { file: Some(file), reason, by, at } => {
                 let limits = fleet_limits::read(&file)?;
                 let note = Who { reason: reason.unwrap_or_default(), by }.note();
-                told(&client(at)?, FleetAsk::Limits { limits, note }, "the limits are stated").await
+                told(&client(at)?, FleetCommand::Limits { limits, note }, "the limits are stated").await
             }
             Call::Limits { file: None, at, .. } => {
                 let fleet = read(&client(at)?).await?;
--- a/crates/mothpierctl/src/fleet_shown.rs
+++ b/crates/mothpierctl/src/fleet_shown.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use mothpier_coordination::fleet::Fleet;
-use mothpier_coordination::fleet::ask::{Kind, Stage, Subject};
+use mothpier_coordination::fleet::messages::{Kind, Stage, Subject};
 
 /// Names in one line.
 const NAMED: usize = 6;
