--- a/crates/mothpier/src/admin_listener.rs
+++ b/crates/mothpier/src/admin_listener.rs
@@ -16,7 +16,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use mothpier_coordination::Act;
+use mothpier_coordination::FencedAction;
 use mothpier_membership::admin_drain::MOST_ID;
 use mothpier_net::{Listener, Net, Stream, Task};
 
@@ -143,7 +143,7 @@
 }
 
 /// Parses the lease on whose behalf a call is made, if there is one.
-fn read_act(request: &Request<Incoming>) -> Result<Option<Act>, Box<Response<Full<Bytes>>>> {
+fn read_act(request: &Request<Incoming>) -> Result<Option<FencedAction>, Box<Response<Full<Bytes>>>> {
     let Some(header) = request.headers().get(ACT_HEADER) else { return Ok(None) };
     let act = serde_json::from_slice(header.as_bytes());
     act.map(Some).map_err(|e| {
--- a/crates/mothpier/src/handover.rs
+++ b/crates/mothpier/src/handover.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mothpier_coordination::{Floors, Obeyer};
+use mothpier_coordination::{FenceFloors, FenceGuard};
 use serde::{Deserialize, Serialize};
 
 use crate::messages::ServerList;
@@ -39,7 +39,7 @@
     listed: u64,
     /// The lowest fences that are accepted.
     #[serde(default)]
-    pub(crate) floors: Floors,
+    pub(crate) floors: FenceFloors,
     /// The fleet's drains as last known to this node.
     #[serde(default)]
     drained: FleetDrains,
@@ -87,8 +87,8 @@
     }
 
     /// Raises the lowest accepted fences to those seen; none is lowered.
-    pub fn obeyed(&mut self, floors: &Floors) {
-        let mut merged = Obeyer::default();
+    pub fn obeyed(&mut self, floors: &FenceFloors) {
+        let mut merged = FenceGuard::default();
         merged.learn(self.floors.clone());
         merged.learn(floors.clone());
         self.floors = merged.handed_over().cloned().unwrap_or_default();
--- a/crates/mothpier/src/operations.rs
+++ b/crates/mothpier/src/operations.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mothpier_coordination::Act;
+use mothpier_coordination::FencedAction;
 use mothpier_membership::admin_drain::AdminDrainError;
 use mothpier_net::Net;
 use tokio::sync::{mpsc, oneshot};
@@ -70,7 +70,7 @@
 
 impl<N: Net> Operations<N> {
     /// Carries out a call, on behalf of a lease if `act` is given.
-    pub async fn call(self: Rc<Self>, call: Call, act: Option<Act>) -> Reply {
+    pub async fn call(self: Rc<Self>, call: Call, act: Option<FencedAction>) -> Reply {
         let handover =
             self.succession.clone().filter(|_| !matches!(call, Call::Ready | Call::Telemetry | Call::Clock));
         let _command_lock = match &handover {
--- a/crates/mothpier/src/process_handover.rs
+++ b/crates/mothpier/src/process_handover.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mothpier_coordination::Floors;
+use mothpier_coordination::FenceFloors;
 use mothpier_net::Net;
 use tokio::sync::{Mutex, MutexGuard, oneshot};
 
@@ -143,7 +143,7 @@
     }
 
     /// Returns the lowest fences accepted by an earlier or concurrent process.
-    pub fn floors(&self) -> Floors {
+    pub fn floors(&self) -> FenceFloors {
         self.state.borrow().floors.clone()
     }
 
