--- a/tests/cut.rs
+++ b/tests/cut.rs
@@ -105,7 +105,7 @@
         while self.now < end {
             self.now += STEP;
             for me in 0..NODES {
-                let actions = self.nodes[me].pass(STEP);
+                let actions = self.nodes[me].advance(STEP);
                 self.carry_out(me, &actions, attempts);
                 // Out of step, and each key of its own.
                 let turn = self.now / STEP + me as u64 * 7;
@@ -119,7 +119,7 @@
             while let Some(first) = self.coming.first_entry().filter(|e| e.key().0 <= self.now) {
                 let (me, outcome) = first.remove();
                 self.served += u64::from(outcome.status == Status::Served);
-                let actions = self.nodes[me].event(Event::Outcome(outcome));
+                let actions = self.nodes[me].deliver(Event::Outcome(outcome));
                 self.carry_out(me, &actions, attempts);
             }
         }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -22,10 +22,10 @@
         let start = node.now + 5 * SECOND;
         let mut listed = false;
         for id in 1..=(5 + seconds) * SECOND / GAP {
-            node.pass(GAP);
+            node.advance(GAP);
             if node.now >= start && !listed {
                 let servers = vec![ServerEntry { id: 2, started: start, ..ServerEntry::default() }];
-                node.event(Event::ServerList { kind: ListKind::Delta, servers });
+                node.deliver(Event::ServerList { kind: ListKind::Delta, servers });
                 listed = true;
             }
             let own = u64::from(me) * 10_000 + id;
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -65,14 +65,14 @@
     let mut node = Node::new(Settings { tenants: vec![Tenant { quota_per_s: 1e3 }], ..settings() }, 3);
     let mut through = 0;
     for id in 1..=20 {
-        through += sends(&node.request(write(id, 1)));
+        through += send_count(&node.request(write(id, 1)));
     }
     assert_eq!(through, 10, "a balancer just started lets half of its twenty calls out");
     let answers = node.outcome(1, 0, ORIGIN, Status::Served);
-    assert_eq!(sends(&answers), 0, "a postponed call waits for its delay");
-    assert_eq!(sends(&node.pass(8 * MS)), 1, "an outcome lowers the counter and one more call goes");
-    let later = node.pass(SECOND);
-    let gone = (11..=20).filter(|id| refused(&later, *id)).count();
+    assert_eq!(send_count(&answers), 0, "a postponed call waits for its delay");
+    assert_eq!(send_count(&node.advance(8 * MS)), 1, "an outcome lowers the counter and one more call goes");
+    let later = node.advance(SECOND);
+    let gone = (11..=20).filter(|id| is_refused(&later, *id)).count();
     assert_eq!(gone, 9, "what was never sent is refused, not failed");
 }
 
@@ -84,7 +84,7 @@
     let mut node = Node::new(config, 3);
     let mut through = 0;
     for id in 1..=12 {
-        through += sends(&node.request(write(id, 2)));
+        through += send_count(&node.request(write(id, 2)));
         node.outcome(id, 0, ORIGIN, Status::Served);
     }
     assert_eq!(through, 7, "in a quarter of the longest aim, 187 ms, 7.5 of 40 a second");
@@ -99,9 +99,9 @@
     for id in 1..=100 {
         let first = sent_to(&node.request(read(id, 100 + id))).unwrap();
         let fetch = node.outcome(id, 0, first, Status::Miss);
-        fetched += sends(&fetch);
+        fetched += send_count(&fetch);
         node.outcome(id, 1, ORIGIN, Status::Served);
-        fetched += sends(&node.pass(SECOND / 60));
+        fetched += send_count(&node.advance(SECOND / 60));
     }
     assert!(fetched >= 95, "six in ten of the quota a second, {fetched} of 100 fetched");
 }
@@ -124,18 +124,18 @@
         for id in 1..=12 {
             node.request(write(id, 1));
             node.outcome(id, 0, ORIGIN, Status::Full);
-            node.pass(MS);
+            node.advance(MS);
         }
-        node.pass(SECOND);
+        node.advance(SECOND);
         assert!(node.actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("gate lowered"))));
         node
     };
     let mut node = lowered();
-    let burst = (100..120).map(|id| sends(&node.request(write(id, 1)))).sum::<usize>();
+    let burst = (100..120).map(|id| send_count(&node.request(write(id, 1)))).sum::<usize>();
     assert_eq!(burst, 2, "the floor of a tenth of the ceiling");
     let mut node = lowered();
     for id in 100..190 {
-        node.pass(50 * MS);
+        node.advance(50 * MS);
         node.request(write(id, 1));
         node.outcome(id, 0, ORIGIN, Status::Served);
     }
@@ -147,10 +147,10 @@
     let mut node = Node::new(settings(), 3);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
     node.outcome(1, 0, first, Status::Miss);
-    assert_eq!(sends(&node.request(read(2, 9))), 0, "waits");
-    assert_eq!(sends(&node.pass(100 * MS)), 0, "as at a shut gate");
+    assert_eq!(send_count(&node.request(read(2, 9))), 0, "waits");
+    assert_eq!(send_count(&node.advance(100 * MS)), 0, "as at a shut gate");
     node.outcome(1, 1, ORIGIN, Status::Served);
-    assert_eq!(sent_to(&node.pass(100 * MS)), Some(first), "then asks the server that holds it now");
+    assert_eq!(sent_to(&node.advance(100 * MS)), Some(first), "then asks the server that holds it now");
 }
 
 #[test]
@@ -159,7 +159,7 @@
     let first = sent_to(&node.request(Request { time_left: 100 * MS, ..read(1, 9) })).unwrap();
     node.outcome(1, 0, first, Status::Miss);
     node.request(read(2, 9));
-    assert_eq!(sends(&node.pass(200 * MS)), 1, "the fetcher ended, the one behind it goes on");
+    assert_eq!(send_count(&node.advance(200 * MS)), 1, "the fetcher ended, the one behind it goes on");
 }
 
 #[test]
@@ -171,7 +171,7 @@
     assert!(first != second && second != third && first != third);
     let fourth = sent_to(&node.outcome(1, 2, third, Status::Full)).unwrap();
     let last = node.outcome(1, 3, fourth, Status::Full);
-    assert!(refused(&last, 1), "no attempts are left");
+    assert!(is_refused(&last, 1), "no attempts are left");
 }
 
 #[test]
@@ -179,9 +179,9 @@
     let mut node = Node::new(settings(), 3);
     node.request(read(1, 9));
     node.request(Request { time_left: SECOND, ..write(2, 2) });
-    let after = node.pass(1500 * MS);
-    assert!(refused(&after, 1), "safe to repeat: a refusal is true");
-    assert!(failed(&after, 2), "may have run: only a failure is true");
+    let after = node.advance(1500 * MS);
+    assert!(is_refused(&after, 1), "safe to repeat: a refusal is true");
+    assert!(is_failed(&after, 2), "may have run: only a failure is true");
 }
 
 #[test]
@@ -189,14 +189,14 @@
     let mut node = Node::new(settings(), 3);
     node.request(Request { time_left: 300 * MS, ..write(1, 2) });
     node.now += 300 * MS;
-    assert!(failed(&node.outcome(1, 0, ORIGIN, Status::TimedOut), 1));
+    assert!(is_failed(&node.outcome(1, 0, ORIGIN, Status::TimedOut), 1));
 }
 
 #[test]
 fn a_budget_shorter_than_a_tick_is_refused_at_once() {
     let mut node = Node::new(settings(), 3);
     let answer = node.request(Request { time_left: MS, ..read(1, 9) });
-    assert!(refused(&answer, 1) && sends(&answer) == 0);
+    assert!(is_refused(&answer, 1) && send_count(&answer) == 0);
 }
 
 #[test]
@@ -204,9 +204,9 @@
     let mut node = Node::new(settings(), 3);
     node.request(Request { time_left: SECOND, ..write(1, 2) });
     node.outcome(1, 0, ORIGIN, Status::Full);
-    assert_eq!(sends(&node.pass(100 * MS)), 1, "turned away unseen: may go again");
+    assert_eq!(send_count(&node.advance(100 * MS)), 1, "turned away unseen: may go again");
     let answer = node.outcome(1, 1, ORIGIN, Status::Reset);
-    assert!(failed(&answer, 1) && sends(&answer) == 0, "may have run: failed, nothing sent");
+    assert!(is_failed(&answer, 1) && send_count(&answer) == 0, "may have run: failed, nothing sent");
 }
 
 #[test]
@@ -222,7 +222,7 @@
             ListKind::Full => (1..=3).filter(|id| *id != first).map(server).chain([origin()]).collect(),
             _ => vec![ServerEntry { condition, ..server(first) }],
         };
-        node.list(kind, lines);
+        node.update_servers(kind, lines);
         for id in 2..=40 {
             assert_ne!(sent_to(&node.request(read(id, id))), Some(first));
         }
@@ -235,11 +235,11 @@
     for id in 1..=6 {
         node.request(write(id, 1));
     }
-    node.list(ListKind::Delta, vec![ServerEntry { condition: Condition::Draining, ..origin() }]);
+    node.update_servers(ListKind::Delta, vec![ServerEntry { condition: Condition::Draining, ..origin() }]);
     node.outcome(1, 0, ORIGIN, Status::Served);
-    let after = node.pass(SECOND);
-    assert_eq!(sends(&after), 0);
-    assert!(refused(&after, 6));
+    let after = node.advance(SECOND);
+    assert_eq!(send_count(&after), 0);
+    assert!(is_refused(&after, 6));
 }
 
 #[test]
@@ -247,7 +247,7 @@
     let share_at = |age: Micros| {
         let mut node = Node::new(settings(), 4);
         let started = node.now;
-        node.list(ListKind::Delta, vec![ServerEntry { started, ..server(2) }]);
+        node.update_servers(ListKind::Delta, vec![ServerEntry { started, ..server(2) }]);
         node.now += age;
         let mut at_cold = 0;
         for id in 1..=2000 {
@@ -273,7 +273,7 @@
         let mut at_victim = 0;
         for _ in 0..requests {
             id += 1;
-            node.pass(10 * MS);
+            node.advance(10 * MS);
             let to = sent_to(&node.request(read(id, id)));
             at_victim += usize::from(to == Some(2));
             match to {
@@ -307,9 +307,9 @@
                 let mut bytes = figures(&[0.0, 8.0, 5.0]);
                 bytes.extend(victim.to_le_bytes());
                 bytes.extend(figures(&[cases]));
-                node.event(Event::PeerMessage { from: peer, bytes });
+                node.deliver(Event::PeerMessage { from: peer, bytes });
             }
-            node.pass(20 * MS);
+            node.advance(20 * MS);
             let to = sent_to(&node.request(read(id, id))).unwrap();
             at_victim += usize::from(to == victim && id > 200);
             node.outcome(id, 0, to, Status::Served);
@@ -329,7 +329,7 @@
     let closed = |status: Status, took: Micros, reached: bool, requests: u64| {
         let mut node = Node::new(settings(), 4);
         for id in 1..=requests {
-            node.pass(20 * MS);
+            node.advance(20 * MS);
             let Some(to) = sent_to(&node.request(read(id, id))) else { continue };
             let status = if id % 3 == 0 { status } else { Status::Served };
             let over = status == Status::Served;
@@ -340,7 +340,7 @@
                 }
             }
             let (note, load) = (CacheLookup::None, Load::default());
-            let next = node.event(Event::Outcome(Outcome {
+            let next = node.deliver(Event::Outcome(Outcome {
                 request: id,
                 attempt: 0,
                 server: to,
@@ -355,7 +355,7 @@
             }
         }
         node.actions.clear();
-        node.pass(600 * MS);
+        node.advance(600 * MS);
         node.actions.iter().filter(|a| matches!(a, Action::CloseIdle(_))).count()
     };
     let slow = 250 * MS;
@@ -379,11 +379,11 @@
         for id in 1..=100 {
             let to = sent_to(&node.request(read(id, id))).unwrap();
             node.outcome(id, 0, to, Status::Served);
-            node.pass(10 * MS);
+            node.advance(10 * MS);
         }
         let now = node.now;
         let servers = vec![ServerEntry { id: 2, started: now, ..ServerEntry::default() }];
-        node.event(Event::ServerList { kind: ListKind::Delta, servers });
+        node.deliver(Event::ServerList { kind: ListKind::Delta, servers });
         for id in 200..=204 {
             let to = sent_to(&node.request(read(id, id))).unwrap();
             sent += usize::from(to == 2);
@@ -397,7 +397,7 @@
 fn one_slow_answer_sets_no_server_aside() {
     let mut node = Node::new(settings(), 4);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
-    node.pass(1600 * MS);
+    node.advance(1600 * MS);
     node.outcome(1, 0, first, Status::TimedOut);
     assert_eq!(sent_to(&node.request(read(2, 9))), Some(first));
 }
@@ -422,12 +422,12 @@
     let mut node = Node::just_started(settings(), 2);
     let mut sent = 0;
     for id in 1..=40 {
-        sent += sends(&node.request(read(id, id)));
+        sent += send_count(&node.request(read(id, id)));
     }
     assert!(sent < 12, "{sent} requests in flight at two servers that have answered nothing");
-    assert!(refused(&node.actions, 40));
+    assert!(is_refused(&node.actions, 40));
     let mut quiet = Node::new(settings(), 2);
-    let sent = (1..=10).map(|id| sends(&quiet.request(read(id, id)))).sum::<usize>();
+    let sent = (1..=10).map(|id| send_count(&quiet.request(read(id, id)))).sum::<usize>();
     assert_eq!(sent, 10, "a burst at an idle fleet is served");
 }
 
@@ -446,7 +446,7 @@
         used.extend(sent_to(&node.request(read(id, key))));
     }
     assert!(used.len() <= 4, "keys of one server at {} of 12 servers", used.len());
-    assert!(refused(&node.actions, 61));
+    assert!(is_refused(&node.actions, 61));
 }
 
 #[test]
@@ -455,7 +455,7 @@
     let mut node = Node::new(settings(), 4);
     let mut seen = [0, 0];
     for id in 1..=2000u64 {
-        node.pass(10 * MS);
+        node.advance(10 * MS);
         let Some(to) = sent_to(&node.request(read(id, id))) else { continue };
         seen[usize::from(id > 1000)] += usize::from(to == 2);
         let next = node.outcome(id, 0, to, if to == 2 { Status::Error } else { Status::Served });
@@ -473,12 +473,12 @@
     let mut node = Node::new(config, 20);
     let (mut served, mut asked) = ([0, 0], [0, 0]);
     for id in 1..=3000u64 {
-        node.pass(5 * MS);
+        node.advance(5 * MS);
         let tenant = usize::from(id % 6 == 0);
         let answer = node.request(Request { tenant, ..read(id, id) });
         if id > 1000 {
             asked[tenant] += 1;
-            served[tenant] += sends(&answer);
+            served[tenant] += send_count(&answer);
         }
         let (status, to) = (if id % 16 == 0 { Status::Full } else { Status::Served }, sent_to(&answer));
         if let Some(mut to) = to {
@@ -500,7 +500,7 @@
     let mut node = Node::new(config, 300);
     let (mut out, mut late) = (std::collections::VecDeque::new(), 0);
     for id in 1..=800u64 {
-        node.pass(20 * MS);
+        node.advance(20 * MS);
         if let Some(to) = sent_to(&node.request(read(id, id))) {
             out.push_back((id, to, node.now));
             late += u32::from(id > 600);
@@ -522,7 +522,7 @@
     let mut node = Node::new(config, 300);
     let mut out = std::collections::VecDeque::new();
     for id in 1..=400u64 {
-        node.pass(20 * MS);
+        node.advance(20 * MS);
         if let Some(to) = sent_to(&node.request(read(id, id))) {
             out.push_back((id, to));
         }
@@ -531,7 +531,7 @@
             node.outcome(id, 0, to, Status::Served);
         }
     }
-    let refusals = refusals(&node.actions);
+    let refusals = refusal_count(&node.actions);
     assert!(refusals < 8, "{refusals} of 400 refused at 50 a second within a quota of 100");
 }
 
@@ -546,11 +546,11 @@
     let mut served = 0;
     for id in 1..=1000u64 {
         for peer in 1..4 {
-            node.event(Event::PeerMessage { from: peer, bytes: figures(&[0.0, 0.0, 5.0]) });
+            node.deliver(Event::PeerMessage { from: peer, bytes: figures(&[0.0, 0.0, 5.0]) });
         }
-        node.pass(14 * MS);
+        node.advance(14 * MS);
         let answer = node.request(read(id, id));
-        served += sends(&answer).min(1);
+        served += send_count(&answer).min(1);
         if let Some(to) = sent_to(&answer) {
             node.outcome(id, 0, to, Status::Served);
         }
@@ -575,7 +575,7 @@
     (config.balancers, config.own_index, config.may_message_peers) = (301, 7, true);
     let mut node = Node::new(config, 21);
     for _ in 0..1000 {
-        node.pass(10 * MS);
+        node.advance(10 * MS);
     }
     let told: Vec<u32> = (node.actions.iter())
         .filter_map(|a| if let Action::SendToPeer { to, .. } = a { to.as_ref().copied() } else { None })
@@ -594,14 +594,14 @@
         config.tenants = vec![Tenant { quota_per_s: 10.0 }];
         let mut node = Node::new(config, 4);
         for id in 1..=400u64 {
-            node.pass(20 * MS);
+            node.advance(20 * MS);
             let Some(mut to) = sent_to(&node.request(read(id, id))) else { continue };
             if fails && id % 2 == 0 {
                 to = sent_to(&node.outcome(id, 0, to, Status::ConnectFailed)).unwrap();
             }
             node.outcome(id, u16::from(fails && id % 2 == 0), to, Status::Served);
         }
-        refusals(&node.actions)
+        refusal_count(&node.actions)
     };
     assert!(refused(false) < 50 && refused(true) > 150, "{} and {}", refused(false), refused(true));
 }
@@ -615,14 +615,14 @@
     let mut node = Node::new(config, 4);
     for id in 1..=200u64 {
         if id == 150 {
-            node.event(Event::PeerMessage { from: 1, bytes: figures(&[20.0, 20.0, 0.0]) });
+            node.deliver(Event::PeerMessage { from: 1, bytes: figures(&[20.0, 20.0, 0.0]) });
         }
-        node.pass(60 * MS);
+        node.advance(60 * MS);
         if let Some(to) = sent_to(&node.request(read(id, id))) {
             node.outcome(id, 0, to, Status::Served);
         }
     }
-    let refused = refusals(&node.actions);
+    let refused = refusal_count(&node.actions);
     assert!(refused < 8, "{refused} refused at 1.7 times the quota for one message of a peer");
 }
 
@@ -636,15 +636,15 @@
         let mut node = Node::new(config, 22);
         for id in 1..=400u64 {
             for peer in 1..4 {
-                node.event(Event::PeerMessage { from: peer, bytes: figures(&[cases, 20.0, 10.0]) });
+                node.deliver(Event::PeerMessage { from: peer, bytes: figures(&[cases, 20.0, 10.0]) });
             }
-            node.pass(20 * MS);
+            node.advance(20 * MS);
             let answer = node.request(read(id, id));
             if let Some(to) = sent_to(&answer) {
                 node.outcome(id, 0, to, Status::Served);
             }
         }
-        refusals(&node.actions)
+        refusal_count(&node.actions)
     };
     assert!(refused(0.0) < 50 && refused(10.0) > 200, "{} and {}", refused(0.0), refused(10.0));
 }
@@ -655,20 +655,20 @@
     let mut node = Node::new(config, 3);
     assert!(node.actions.contains(&Action::Subscribe(true)), "subscribes at the start");
     node.actions.clear();
-    node.list(ListKind::Failed, Vec::new());
+    node.update_servers(ListKind::Failed, Vec::new());
     assert!(!node.actions.contains(&Action::Subscribe(true)));
-    assert!(node.pass(2 * SECOND).contains(&Action::Subscribe(true)));
+    assert!(node.advance(2 * SECOND).contains(&Action::Subscribe(true)));
     assert!(sent_to(&node.request(read(1, 9))).is_some(), "the old list stays in force");
 }
 
 #[test]
 fn no_server_no_origin_and_servers_back_again_lose_nothing() {
     let mut node = Node::new(settings(), 2);
-    node.list(ListKind::Full, Vec::new());
-    assert!(refused(&node.request(read(1, 9)), 1));
+    node.update_servers(ListKind::Full, Vec::new());
+    assert!(is_refused(&node.request(read(1, 9)), 1));
     node.request(write(2, 1));
-    assert!(refused(&node.pass(SECOND), 2), "no origin: postponed, then refused");
-    node.list(ListKind::Full, vec![server(1), origin()]);
+    assert!(is_refused(&node.advance(SECOND), 2), "no origin: postponed, then refused");
+    node.update_servers(ListKind::Full, vec![server(1), origin()]);
     assert_eq!(sent_to(&node.request(read(3, 9))), Some(1));
 }
 
@@ -677,7 +677,7 @@
     let mut node = Node::new(settings(), 3);
     node.request(read(1, 9));
     node.actions.clear();
-    node.pass(60 * SECOND);
+    node.advance(60 * SECOND);
     assert!(node.actions.len() < 1500, "{} actions in an idle minute", node.actions.len());
 }
 
@@ -693,7 +693,7 @@
         (config.classes[0].only_zones, config.classes[0].only_kinds) = (zones, kinds);
         let mut node = Node::new(config, 0);
         let lines = vec![in_zone(1, 0, 7), in_zone(2, 1, 8), in_zone(3, 1, 7), in_zone(4, 0, 8), origin()];
-        node.list(ListKind::Full, lines);
+        node.update_servers(ListKind::Full, lines);
         for id in 1..=40 {
             let (mut to, mut attempt) = (sent_to(&node.request(read(id, id))), 0);
             while let Some(server) = to {
@@ -704,9 +704,9 @@
             }
         }
         let gone = permitted.map(|id| ServerEntry { condition: Condition::Gone, ..server(id) });
-        node.list(ListKind::Delta, gone.to_vec());
+        node.update_servers(ListKind::Delta, gone.to_vec());
         let answer = node.request(read(100, 9));
-        assert!(sends(&answer) == 0 && refused(&answer, 100), "held or ended, never sent elsewhere");
+        assert!(send_count(&answer) == 0 && is_refused(&answer, 100), "held or ended, never sent elsewhere");
     }
 }
 
@@ -715,7 +715,7 @@
     let mut config = settings();
     config.classes[0].only_zones = Some(vec![1]);
     let mut node = Node::new(config, 0);
-    node.list(ListKind::Full, vec![in_zone(2, 1, 0), origin()]);
+    node.update_servers(ListKind::Full, vec![in_zone(2, 1, 0), origin()]);
     node.request(read(1, 9));
     assert_eq!(sent_to(&node.outcome(1, 0, 2, Status::Miss)), Some(ORIGIN));
 }
@@ -728,17 +728,20 @@
     let mut node = Node::new(Settings { drain_close_limit: Some(close), ..settings() }, 3);
     let to = sent_to(&node.request(read(1, 9))).unwrap();
     let draining = ServerEntry { condition: Condition::Draining, ..server(to) };
-    assert!(closes(&node.list(ListKind::Delta, vec![draining.clone()]), to), "at the notice");
-    assert!(closes(&node.pass(close - MS), to), "again, for one that was being opened then");
-    node.list(ListKind::Delta, vec![draining]);
-    node.pass(2 * SECOND);
+    assert!(closes(&node.update_servers(ListKind::Delta, vec![draining.clone()]), to), "at the notice");
+    assert!(closes(&node.advance(close - MS), to), "again, for one that was being opened then");
+    node.update_servers(ListKind::Delta, vec![draining]);
+    node.advance(2 * SECOND);
     assert!(closes(&node.outcome(1, 0, to, Status::TimedOut), to), "after an outcome that comes late");
-    assert!(closes(&node.pass(close - MS), to));
+    assert!(closes(&node.advance(close - MS), to));
     let restarted = |condition| ServerEntry { condition, ..server(8) };
-    assert!(closes(&node.list(ListKind::Cached, vec![restarted(Condition::Draining)]), 8), "in an old list");
+    assert!(
+        closes(&node.update_servers(ListKind::Cached, vec![restarted(Condition::Draining)]), 8),
+        "in an old list"
+    );
     let mut other = Node::new(settings(), 3);
-    let notice =
-        other.list(ListKind::Delta, vec![ServerEntry { condition: Condition::Draining, ..server(2) }]);
+    let notice = other
+        .update_servers(ListKind::Delta, vec![ServerEntry { condition: Condition::Draining, ..server(2) }]);
     assert!(!closes(&notice, 2), "only where a rule asks for it");
 }
 
@@ -748,12 +751,12 @@
     let asks = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Subscribe(true)).count();
     let mut node = Node::just_started(config, 3);
     assert_eq!(asks(&node.actions), 1);
-    let later = node.pass(20 * SECOND);
+    let later = node.advance(20 * SECOND);
     assert_eq!(asks(&later), 3, "about once in the time after which it counts as told");
-    node.list(ListKind::Full, (1..=3).map(server).chain([origin()]).collect());
-    assert_eq!(asks(&node.pass(60 * SECOND)), 0, "once subscribed it asks no more");
-    node.list(ListKind::Failed, Vec::new());
-    assert_eq!(asks(&node.pass(3 * SECOND)), 1, "a broken subscription is renewed soon");
+    node.update_servers(ListKind::Full, (1..=3).map(server).chain([origin()]).collect());
+    assert_eq!(asks(&node.advance(60 * SECOND)), 0, "once subscribed it asks no more");
+    node.update_servers(ListKind::Failed, Vec::new());
+    assert_eq!(asks(&node.advance(3 * SECOND)), 1, "a broken subscription is renewed soon");
 }
 
 #[test]
@@ -763,10 +766,10 @@
         let mut node =
             Node::new(Settings { load_fields: vec![LoadField::Other, LoadField::Busy], ..settings() }, 0);
         let kinds = (1..=8).map(|id| ServerEntry { kind: 2 + (id % 2) as u16, ..server(id) });
-        node.list(ListKind::Full, kinds.chain([origin()]).collect());
+        node.update_servers(ListKind::Full, kinds.chain([origin()]).collect());
         let mut odd = 0;
         for id in 1..=1500u64 {
-            node.pass(20 * MS);
+            node.advance(20 * MS);
             let server = sent_to(&node.request(read(id, id))).unwrap();
             odd += usize::from(server % 2 == 1 && id > 1000);
             let load = Load { count: 2, values: [9.0, if server % 2 == 1 { busy } else { 0.3 }, 0.0, 0.0] };
@@ -781,7 +784,7 @@
                 elapsed: MS,
                 load,
             };
-            node.event(Event::Outcome(o));
+            node.deliver(Event::Outcome(o));
         }
         odd
     };
@@ -797,7 +800,7 @@
         let mut node = Node::new(settings(), 20);
         let mut used = std::collections::BTreeSet::new();
         for id in 1..=60u64 {
-            node.pass(700 * MS);
+            node.advance(700 * MS);
             let key = if hot && id % 2 == 0 { 9 } else { 1000 + id };
             let to = sent_to(&node.request(read(id, key))).unwrap();
             node.outcome(id, 0, to, Status::Served);
@@ -814,19 +817,25 @@
     // Standard day big-2 of a site that loses answers: a request waited for its deadline while others served it.
     let mut node = Node::new(Settings { may_duplicate: true, may_cancel: true, ..settings() }, 4);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
-    let copy = sent_to(&node.pass(400 * MS)).expect("a copy inside the aim");
+    let copy = sent_to(&node.advance(400 * MS)).expect("a copy inside the aim");
     assert_ne!(first, copy);
     assert_eq!(sent_to(&node.outcome(1, 1, copy, Status::Miss)), Some(ORIGIN), "and on to the origin");
     let mut node = Node::new(Settings { may_duplicate: false, may_cancel: true, ..settings() }, 4);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
-    let late = node.pass(400 * MS);
-    assert!(late.contains(&Action::Cancel { request: 1, attempt: 0 }) && sends(&late) == 0, "one at a time");
+    let late = node.advance(400 * MS);
+    assert!(
+        late.contains(&Action::Cancel { request: 1, attempt: 0 }) && send_count(&late) == 0,
+        "one at a time"
+    );
     let next = sent_to(&node.outcome(1, 0, first, Status::Cancelled)).expect("then the next");
     assert_ne!(first, next);
     let mut node = Node::new(Settings { may_duplicate: true, may_cancel: true, ..settings() }, 4);
     node.request(write(1, 2));
-    let late = node.pass(400 * MS);
-    assert!(sends(&late) == 0 && !late.contains(&Action::Cancel { request: 1, attempt: 0 }), "never a write");
+    let late = node.advance(400 * MS);
+    assert!(
+        send_count(&late) == 0 && !late.contains(&Action::Cancel { request: 1, attempt: 0 }),
+        "never a write"
+    );
 }
 
 #[test]
@@ -841,7 +850,7 @@
     let (mut out, mut sent, mut served) = (std::collections::VecDeque::new(), 0, 0);
     let before = node.actions.len();
     for id in 1..=1000u64 {
-        node.pass(20 * MS);
+        node.advance(20 * MS);
         while out.front().is_some_and(|(_, _, due)| node.now >= *due) {
             let (id, to, _) = out.pop_front().unwrap();
             node.outcome(id, 0, to, Status::Served);
@@ -863,7 +872,7 @@
     let config = Settings { may_duplicate: false, may_cancel: true, ..settings() };
     let mut node = Node::new(config, 1);
     let only = sent_to(&node.request(read(1, 9))).unwrap();
-    let late = node.pass(700 * MS);
+    let late = node.advance(700 * MS);
     assert!(!late.iter().any(|a| matches!(a, Action::Cancel { .. })), "called off for a refusal");
     assert!(node.outcome(1, 0, only, Status::Served).is_empty(), "it was answered in time");
 }
@@ -874,7 +883,7 @@
     let mut node = Node::new(Settings { max_attempts: 5, ..settings() }, 6);
     let mut sent = 0;
     for id in 1..=100u64 {
-        node.pass(20 * MS);
+        node.advance(20 * MS);
         let (mut to, mut attempt) = (sent_to(&node.request(read(id, id))), 0);
         while let Some(server) = to {
             sent += 1;
@@ -891,14 +900,14 @@
     let start = || Node::new(Settings { tenants: vec![Tenant { quota_per_s: 1e3 }], ..settings() }, 3);
     let mut out = 0;
     for mut half in [start(), start()] {
-        half.event(Event::ProcessShare(0.5));
-        out += (1..=20).map(|id| sends(&half.request(write(id, 1)))).sum::<usize>();
-        let before = sends(&half.pass(0));
-        half.event(Event::ProcessShare(1.0));
+        half.deliver(Event::ProcessShare(0.5));
+        out += (1..=20).map(|id| send_count(&half.request(write(id, 1)))).sum::<usize>();
+        let before = send_count(&half.advance(0));
+        half.deliver(Event::ProcessShare(1.0));
         // The other one has ended: what was postponed goes out within the whole cap.
-        let after: usize = (0..20).map(|_| sends(&half.pass(8 * MS))).sum();
+        let after: usize = (0..20).map(|_| send_count(&half.advance(8 * MS))).sum();
         assert_eq!((before, after), (0, 5));
     }
     let mut one = start();
-    assert_eq!(out, (1..=20).map(|id| sends(&one.request(write(id, 1)))).sum::<usize>());
+    assert_eq!(out, (1..=20).map(|id| send_count(&one.request(write(id, 1)))).sum::<usize>());
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use brassrouter::*;
-use common::{ORIGIN_KIND, take_due};
+use common::{ORIGIN_KIND, pop_due_timer};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -251,7 +251,7 @@
 
     fn pass(&mut self, time: u64) {
         let end = self.now + time;
-        while let Some(due) = take_due(&mut self.timers, end) {
+        while let Some(due) = pop_due_timer(&mut self.timers, end) {
             self.now = due;
             self.check_closed();
             self.event(Event::Timer(0));
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -61,11 +61,11 @@
                 elapsed: self.takes,
                 load: Load::default(),
             };
-            let actions = self.nodes[node].event(Event::Outcome(outcome));
+            let actions = self.nodes[node].deliver(Event::Outcome(outcome));
             self.took(node, &actions);
         }
         for node in 0..self.nodes.len() {
-            let actions = self.nodes[node].pass(step);
+            let actions = self.nodes[node].advance(step);
             self.took(node, &actions);
         }
     }
@@ -175,10 +175,10 @@
     assert_eq!(seen.into_iter().collect::<Vec<_>>(), [2, 3]);
     // Both drain: it is fetched from nowhere else, and answered all the same.
     let draining = |id| ServerEntry { condition: Condition::Draining, ..server(id) };
-    node.list(ListKind::Delta, vec![draining(2), draining(3)]);
+    node.update_servers(ListKind::Delta, vec![draining(2), draining(3)]);
     let actions = node.request(read(200, 7));
-    assert_eq!(sends(&actions), 0);
-    assert!(refused(&actions, 200) || failed(&actions, 200));
+    assert_eq!(send_count(&actions), 0);
+    assert!(is_refused(&actions, 200) || is_failed(&actions, 200));
 }
 
 #[test]
@@ -190,10 +190,10 @@
         for id in 1..=5 {
             let to = sent_to(&node.request(read(id, id))).unwrap();
             node.outcome(id, 0, to, Status::Served);
-            node.pass(200 * MS);
+            node.advance(200 * MS);
         }
         let started = node.now;
-        node.event(Event::ServerList {
+        node.deliver(Event::ServerList {
             kind: ListKind::Delta,
             servers: vec![ServerEntry { started, ..server(2) }],
         });
