--- a/crates/mothpier-slots/src/lib.rs
+++ b/crates/mothpier-slots/src/lib.rs
@@ -1,11 +1,14 @@
-//! The cluster dialect of RESP, decided without I/O: which slot a key has ([`slot`]) and which node of the tier is shown
-//! to clients as a slot's owner ([`tier`]).
+//! Redis Cluster support without I/O.
 //!
-//! Source: the Redis Cluster specification ("Key distribution model", "Hash tags", "MOVED Redirection", "ASK
-//! Redirection") and the pages of the CLUSTER commands.
+//! Towards clients: the slot of a key ([`slot`]) and which node of the tier is presented to slot-aware
+//! clients as the owner of a slot ([`tier`]).
+//!
+//! Towards cache servers: the errors that they send in place of a value ([`redirect`]), the slot maps that
+//! they report ([`view`]), the slot table merged from these maps ([`table`]), the schedule on which the maps
+//! are requested ([`refresh`]), and all of these combined ([`pool`]).
 //!
-//! Towards boxes: what they answer in place of a value ([`redirect`]), what they say of their cluster ([`view`]), the
-//! table that comes of it ([`table`]), when they are asked ([`refresh`]), and all of it together ([`pool`]).
+//! Source: the Redis Cluster specification ("Key distribution model", "Hash tags", "MOVED Redirection", "ASK
+//! Redirection") and the reference pages of the CLUSTER commands.
 
 pub mod pool;
 pub mod redirect;
--- a/crates/mothpier-slots/src/pool.rs
+++ b/crates/mothpier-slots/src/pool.rs
@@ -1,6 +1,9 @@
-//! A pool of boxes that speak the cluster dialect, as one node sees it: its slot table, and when it is asked for anew.
-//! What boxes answer goes in, in words; what it means for the request, in numbers of the list, comes out. Where the
-//! request goes next is not decided here: the decision module is told.
+//! A cluster of cache servers as one node sees it: its slot table and the schedule on which the table is
+//! refreshed.
+//!
+//! Error lines and slot maps from the servers go in; their meaning for the request, with servers given by
+//! their number in the server list, comes out. This module does not choose the next server for a request: its
+//! result is passed to the policy.
 
 use std::net::SocketAddr;
 
@@ -8,25 +11,25 @@
 use crate::refresh::{Budget, Millis, Refresh, RoundResult};
 use crate::table::{Merged, ServerId, ServerLookup, ServerView, SlotAssignment, Table};
 
-/// What an error line of a box means for the request that it answers.
+/// The meaning of an error line for the request that it answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ErrorMeaning {
-    /// It did not run; another box is named.
+    /// The command did not run; the server named another one.
     Redirected {
-        /// The box, where the list has one at the address named.
+        /// The named server, if the server list has one at that address.
         to: Option<ServerId>,
-        /// Only behind `ASKING`, and only this once.
+        /// The redirection applies to this command only, which must be preceded by `ASKING`.
         ask: bool,
     },
-    /// It did not run, and nothing else is named.
+    /// The command did not run, and no other server was named.
     TurnedAway(UnavailableReason),
-    /// It begins as a redirection and is none: it may have run.
+    /// The line starts like a redirection but is malformed; the command may have run.
     Unreadable(RedirectError),
-    /// It is a redirection of another slot than the request's: it may have run.
+    /// The redirection is for a different slot than the request's; the command may have run.
     OtherSlot(u16),
 }
 
-/// A pool of boxes that form a cluster.
+/// A pool of cache servers that form a cluster.
 #[derive(Debug)]
 pub struct Pool {
     table: Table,
@@ -34,82 +37,88 @@
 }
 
 impl Pool {
-    /// A pool of which nothing is known yet. `copies` says that boxes that hold copies may be read.
-    pub fn new(copies: bool, budget: Budget, seed: u64, now: Millis) -> Self {
-        Pool { table: Table::new(copies), refresh: Refresh::new(budget, seed, now) }
+    /// Creates a pool without a slot map. `read_replicas` allows reads from replicas.
+    pub fn new(read_replicas: bool, budget: Budget, seed: u64, now: Millis) -> Self {
+        Pool { table: Table::new(read_replicas), refresh: Refresh::new(budget, seed, now) }
     }
 
-    /// Reads an error line with which a box answered a request for a slot (`None` where the request is over). `None`
-    /// for a line that has nothing to do with clusters.
+    /// Interprets an error line with which a server answered a request for `slot` (`None` if the request has
+    /// finished). Returns `None` for a line that is not specific to clusters.
     pub fn said(
         &mut self,
         now: Millis,
         line: &str,
         slot: Option<u16>,
         from: SocketAddr,
-        listed: ServerLookup<'_>,
+        lookup: ServerLookup<'_>,
     ) -> Option<ErrorMeaning> {
-        Some(match redirect::read(line)? {
-            Err(nonsense) => ErrorMeaning::Unreadable(nonsense),
-            Ok(ClusterError::NotNow(why)) => {
-                if why.doubts_the_map() {
-                    self.refresh.sign(now);
+        Some(match redirect::parse_error_line(line)? {
+            Err(error) => ErrorMeaning::Unreadable(error),
+            Ok(ClusterError::Unavailable(reason)) => {
+                if reason.suggests_stale_map() {
+                    self.refresh.report_stale(now);
                 }
-                ErrorMeaning::TurnedAway(why)
+                ErrorMeaning::TurnedAway(reason)
             }
-            Ok(ClusterError::Redirect(r)) if slot.is_some_and(|slot| slot != r.slot) => {
-                ErrorMeaning::OtherSlot(r.slot)
+            Ok(ClusterError::Redirect(redirection)) if slot.is_some_and(|slot| slot != redirection.slot) => {
+                ErrorMeaning::OtherSlot(redirection.slot)
             }
-            Ok(ClusterError::Redirect(r)) => {
-                // A slot on its way is in no map yet: the map is not old for it.
-                if !r.ask {
-                    self.refresh.sign(now);
+            Ok(ClusterError::Redirect(redirection)) => {
+                // `ASK` is sent while a slot is being migrated, which no map shows yet: it does not mean that
+                // the map is stale.
+                if !redirection.ask {
+                    self.refresh.report_stale(now);
+                }
+                ErrorMeaning::Redirected {
+                    to: self.table.resolve(&redirection.to, from).and_then(lookup),
+                    ask: redirection.ask,
                 }
-                ErrorMeaning::Redirected { to: self.table.address(&r.to, from).and_then(listed), ask: r.ask }
             }
         })
     }
 
-    /// A box that a `MOVED` named took the command: the slot is its. Gives what changed.
+    /// Records that the server named by a `MOVED` accepted the command and so owns the slot. Returns what
+    /// changed.
     pub fn moved(&mut self, slot: u16, to: ServerId) -> Option<SlotAssignment> {
         self.table.moved(slot, to)
     }
 
-    /// The list has changed: the boxes of the map are looked up again. Whether there is a map at all.
-    pub fn relist(&mut self, listed: ServerLookup<'_>) -> bool {
+    /// Looks up the servers of the map again after a change of the server list. Returns whether there is a
+    /// map.
+    pub fn relist(&mut self, lookup: ServerLookup<'_>) -> bool {
         let known = !self.table.is_empty();
         if known {
-            self.table.relist(listed);
+            self.table.relist(lookup);
         }
         known
     }
 
-    /// The whole table.
+    /// Returns the whole slot table.
     pub fn ranges(&self) -> Vec<SlotAssignment> {
         self.table.ranges()
     }
 
-    /// When the boxes are to be asked next; `None` while they are being asked.
+    /// Returns the time of the next refresh; `None` while one is in progress.
     pub fn due(&self) -> Option<Millis> {
         self.refresh.due()
     }
 
-    /// Begins the round that is due: the boxes to ask.
+    /// Starts the refresh round that is due and returns the servers to query.
     pub fn begin(&mut self, now: Millis, ready: &[ServerId]) -> Vec<ServerId> {
-        self.refresh.begin(now, ready, self.table.mark())
+        self.refresh.begin(now, ready, self.table.redirect_mark())
     }
 
-    /// What a box that was asked said, or `None` where nothing that can be read came in time. Gives how the round was
-    /// taken once it is whole.
+    /// Records the answer of a queried server, or `None` if no readable answer arrived in time. Returns the
+    /// outcome of the merge once the round is complete.
     pub fn answered(
         &mut self,
         now: Millis,
         from: ServerId,
-        heard: Option<ServerView>,
-        listed: ServerLookup<'_>,
+        view: Option<ServerView>,
+        lookup: ServerLookup<'_>,
     ) -> Option<Merged> {
-        let RoundResult { heard, mark } = self.refresh.answered(now, from, heard)?;
-        Some(self.table.merge(heard, mark, listed))
+        let RoundResult { views, mark } = self.refresh.answered(now, from, view)?;
+        Some(self.table.merge(views, mark, lookup))
     }
 }
 
--- a/crates/mothpier-slots/src/pool/tests.rs
+++ b/crates/mothpier-slots/src/pool/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn listed(address: SocketAddr) -> Option<ServerId> {
+fn lookup(address: SocketAddr) -> Option<ServerId> {
     (address.port() == 7000).then(|| match address.ip() {
         std::net::IpAddr::V4(ip) => u32::from(ip.octets()[3]),
         std::net::IpAddr::V6(_) => 6,
@@ -8,11 +8,11 @@
 }
 
 #[test]
-fn what_a_line_means_and_when_it_makes_the_map_doubtful() {
+fn error_lines_are_interpreted_and_may_mark_the_map_as_stale() {
     let from: SocketAddr = "10.1.0.9:7000".parse().unwrap();
-    let calm = Budget { calm: 1_000_000_000, ..Budget::default() };
+    let long_interval = Budget { calm: 1_000_000_000, ..Budget::default() };
     let redirected = |to, ask| Some(ErrorMeaning::Redirected { to, ask });
-    for (line, word, doubts) in [
+    for (line, meaning, stale) in [
         ("MOVED 7 10.1.0.3:7000", redirected(Some(3), false), true),
         ("MOVED 7 :7000", redirected(Some(9), false), true),
         ("MOVED 7 10.1.0.3:7001", redirected(None, false), true),
@@ -30,23 +30,23 @@
         ("READONLY x", Some(ErrorMeaning::TurnedAway(UnavailableReason::ReadOnly)), true),
         ("ERR failed", None, false),
     ] {
-        let mut pool = Pool::new(false, calm, 1, 0);
-        // The first round is over, and nothing is due for long.
+        let mut pool = Pool::new(false, long_interval, 1, 0);
+        // Complete the first round, so that the next one is far off.
         let now = pool.due().unwrap();
         for id in pool.begin(now, &[1]) {
-            pool.answered(now, id, Some((from, crate::view::View::default())), &listed);
+            pool.answered(now, id, Some((from, crate::view::View::default())), &lookup);
         }
         let due = pool.due().unwrap();
-        assert_eq!(pool.said(now, line, Some(7), from, &listed), word, "{line}");
-        assert_eq!(pool.due().unwrap() < due, doubts, "{line}");
+        assert_eq!(pool.said(now, line, Some(7), from, &lookup), meaning, "{line}");
+        assert_eq!(pool.due().unwrap() < due, stale, "{line}");
     }
 }
 
 #[test]
-fn of_a_request_that_is_over_any_slot_will_do() {
+fn a_redirection_for_a_finished_request_may_name_any_slot() {
     let mut pool = Pool::new(false, Budget::default(), 1, 0);
     let from = "10.1.0.9:7000".parse().unwrap();
-    let word = pool.said(0, "MOVED 8 10.1.0.3:7000", None, from, &listed);
-    assert_eq!(word, Some(ErrorMeaning::Redirected { to: Some(3), ask: false }));
-    assert!(!pool.relist(&listed), "no map has come");
+    let meaning = pool.said(0, "MOVED 8 10.1.0.3:7000", None, from, &lookup);
+    assert_eq!(meaning, Some(ErrorMeaning::Redirected { to: Some(3), ask: false }));
+    assert!(!pool.relist(&lookup), "no map has been received");
 }
--- a/crates/mothpier-slots/src/redirect.rs
+++ b/crates/mothpier-slots/src/redirect.rs
@@ -1,87 +1,91 @@
-//! What a box of a cluster answers in place of a value, read off its error line. What it says is not believed here: a
-//! redirection is only taken apart, and [`crate::table`] and the decision module see where it leads.
+//! Parses the error lines that cluster servers send in place of a value.
 //!
-//! Source: the Redis Cluster specification, "MOVED Redirection", "ASK Redirection" and "Clients first connection and
-//! handling of redirections"; the pages of CLUSTER SLOTS and CLUSTER SHARDS for hosts that are empty or unknown.
+//! A redirection is only parsed here and not trusted: [`crate::table`] and the policy decide whether it is
+//! followed.
+//!
+//! Source: the Redis Cluster specification, "MOVED Redirection", "ASK Redirection" and "Clients first
+//! connection and handling of redirections"; the reference pages of CLUSTER SLOTS and CLUSTER SHARDS for
+//! empty and unknown hosts.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 
 use crate::slot::SLOTS;
 
-/// The longest host name (RFC 1035, section 2.3.4).
-const MOST_NAME: usize = 253;
+/// Maximum length of a host name in bytes (RFC 1035, section 2.3.4).
+const MAX_HOST_NAME_BYTES: usize = 253;
 
-/// Where a box says that something is. The port is never 0.
+/// An endpoint as reported by a server. The port is never 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
     /// The host.
     pub host: Host,
-    /// The port; `None` for the one that the box itself was reached at.
+    /// The port; `None` means the port at which the reporting server was contacted.
     pub port: Option<u16>,
 }
 
-/// A host as boxes name it.
+/// A host as reported by a server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Host {
-    /// Not named: the one that the box itself was reached at.
+    /// No host given: the one at which the reporting server was contacted.
     Same,
-    /// By address.
+    /// An IP address.
     Address(IpAddr),
-    /// By name, in lower case.
+    /// A host name in lower case.
     Name(String),
 }
 
 impl Endpoint {
-    /// The address, seen from the box that named it. `named` knows the addresses of names.
-    pub fn address(&self, from: SocketAddr, named: &dyn Fn(&str) -> Option<IpAddr>) -> Option<SocketAddr> {
+    /// Resolves the endpoint for a server contacted at `from`. `lookup` returns the address of a host name.
+    pub fn resolve(&self, from: SocketAddr, lookup: &dyn Fn(&str) -> Option<IpAddr>) -> Option<SocketAddr> {
         let ip = match &self.host {
             Host::Same => from.ip(),
             Host::Address(ip) => *ip,
-            Host::Name(name) => named(name)?,
+            Host::Name(name) => lookup(name)?,
         };
         Some(SocketAddr::new(ip, self.port.unwrap_or(from.port())))
     }
 }
 
-/// A box names another for a slot; it did not run the command.
+/// A redirection to another server; the command did not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Redirect {
-    /// For this command only, and only behind `ASKING`: the slot is on its way there.
+    /// An `ASK`: it applies to this command only, which must be preceded by `ASKING`, because the slot is
+    /// being migrated to the named server.
     pub ask: bool,
     /// The slot.
     pub slot: u16,
-    /// The other box.
+    /// The named server.
     pub to: Endpoint,
 }
 
-/// What an error line of a cluster's box says.
+/// An error that is specific to cluster servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClusterError {
-    /// Another box is to be asked.
+    /// The command is to be sent to another server.
     Redirect(Redirect),
-    /// It did not run the command: its own state forbids it.
-    NotNow(UnavailableReason),
+    /// The command did not run because of the state of the server.
+    Unavailable(UnavailableReason),
 }
 
-/// Why a box turns a command away unseen.
+/// Why a server rejected a command without running it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnavailableReason {
-    /// Keys of one command lie on both sides of a slot's move.
+    /// The keys of the command are split between the two sides of a slot migration.
     TryAgain,
-    /// Its cluster does not serve the slot.
+    /// The cluster does not serve the slot.
     ClusterDown,
-    /// It reads its data.
+    /// The server is loading its dataset.
     Loading,
-    /// It holds copies and has lost the owner.
+    /// The server is a replica without a link to its master.
     MasterDown,
-    /// It holds copies and takes no writes.
+    /// The server is a replica and accepts no writes.
     ReadOnly,
 }
 
 impl UnavailableReason {
-    /// Whether the slot map may be old: the box is not what the map has it for.
-    pub fn doubts_the_map(self) -> bool {
+    /// Returns whether the slot map may be stale: the server does not have the role that the map gives it.
+    pub fn suggests_stale_map(self) -> bool {
         matches!(
             self,
             UnavailableReason::ClusterDown | UnavailableReason::MasterDown | UnavailableReason::ReadOnly
@@ -89,39 +93,41 @@
     }
 }
 
-/// Why a line that begins as a redirection is none. It proves nothing: the command may have run.
+/// Why a line that starts like a redirection is malformed. Such a line does not prove that the command did
+/// not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RedirectError {
-    /// It has other than three words.
-    Words,
-    /// The slot is no number below 16,384.
+    /// The line does not have three fields.
+    FieldCount,
+    /// The slot is not a number below 16,384.
     Slot,
-    /// There is no port, or one that nobody listens on.
+    /// The port is missing, 0 or not a port number.
     Port,
-    /// The host is neither an address nor a name.
+    /// The host is neither an IP address nor a host name.
     Host,
 }
 
 impl fmt::Display for RedirectError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RedirectError::Words => "it does not have the form KIND SLOT HOST:PORT",
-            RedirectError::Slot => "its slot is no number from 0 to 16383",
-            RedirectError::Port => "its port is no number from 1 to 65535",
-            RedirectError::Host => "its host is neither an address nor a name",
+            RedirectError::FieldCount => "it does not have the form KIND SLOT HOST:PORT",
+            RedirectError::Slot => "its slot is not a number from 0 to 16383",
+            RedirectError::Port => "its port is not a number from 1 to 65535",
+            RedirectError::Host => "its host is neither an IP address nor a host name",
         })
     }
 }
 
-/// Reads an error line, without its dash and line end; `None` for one that has nothing to do with clusters.
+/// Parses an error line without its leading dash and line end. Returns `None` for a line that is not specific
+/// to clusters.
 ///
 /// # Errors
 ///
-/// What makes a redirection unreadable.
-pub fn read(line: &str) -> Option<Result<ClusterError, RedirectError>> {
+/// Returns the reason why a redirection is malformed.
+pub fn parse_error_line(line: &str) -> Option<Result<ClusterError, RedirectError>> {
     let kind = line.split(' ').next()?;
-    let not_now = match kind {
-        "MOVED" | "ASK" => return Some(redirect(line, kind == "ASK").map(ClusterError::Redirect)),
+    let reason = match kind {
+        "MOVED" | "ASK" => return Some(parse_redirect(line, kind == "ASK").map(ClusterError::Redirect)),
         "TRYAGAIN" => UnavailableReason::TryAgain,
         "CLUSTERDOWN" => UnavailableReason::ClusterDown,
         "LOADING" => UnavailableReason::Loading,
@@ -129,70 +135,70 @@
         "READONLY" => UnavailableReason::ReadOnly,
         _ => return None,
     };
-    Some(Ok(ClusterError::NotNow(not_now)))
+    Some(Ok(ClusterError::Unavailable(reason)))
 }
 
-fn redirect(line: &str, ask: bool) -> Result<Redirect, RedirectError> {
-    let words: Vec<&str> = line.split(' ').take(5).collect();
-    // An empty host may leave nothing at all of the third word.
-    let (slot, to) = match words.as_slice() {
+fn parse_redirect(line: &str, ask: bool) -> Result<Redirect, RedirectError> {
+    let fields: Vec<&str> = line.split(' ').take(5).collect();
+    // With an empty host and no port the third field may be missing.
+    let (slot, to) = match fields.as_slice() {
         [_, slot] => (slot, ""),
         [_, slot, to] => (slot, *to),
-        _ => return Err(RedirectError::Words),
+        _ => return Err(RedirectError::FieldCount),
     };
-    let slot = number(slot).filter(|s| *s < SLOTS).ok_or(RedirectError::Slot)?;
-    Ok(Redirect { ask, slot, to: place(to)? })
+    let slot = parse_decimal(slot).filter(|s| *s < SLOTS).ok_or(RedirectError::Slot)?;
+    Ok(Redirect { ask, slot, to: parse_endpoint(to)? })
 }
 
-/// Reads `HOST:PORT`, where the host may be empty, an address with or without brackets, or a name.
+/// Parses `HOST:PORT`, where the host may be empty, an IP address with or without brackets, or a host name.
 ///
 /// # Errors
 ///
-/// What makes it unreadable.
-pub fn place(text: &str) -> Result<Endpoint, RedirectError> {
+/// Returns the reason why the text is malformed.
+pub fn parse_endpoint(text: &str) -> Result<Endpoint, RedirectError> {
     if text.is_empty() {
         return Ok(Endpoint { host: Host::Same, port: None });
     }
-    // The last colon: an IPv6 address stands without brackets, as servers write it.
+    // Splits at the last colon: servers write IPv6 addresses without brackets.
     let (host, port) = text.rsplit_once(':').ok_or(RedirectError::Port)?;
-    let port = number(port).filter(|p| *p > 0).ok_or(RedirectError::Port)?;
-    Ok(Endpoint { host: self::host(host)?, port: Some(port) })
+    let port = parse_decimal(port).filter(|p| *p > 0).ok_or(RedirectError::Port)?;
+    Ok(Endpoint { host: self::parse_host(host)?, port: Some(port) })
 }
 
-/// Reads a host: empty, an address with or without brackets, or a name.
+/// Parses a host: empty, an IP address with or without brackets, or a host name.
 ///
 /// # Errors
 ///
-/// What is none of them; also `?`, by which a box says that it does not know.
-pub fn host(text: &str) -> Result<Host, RedirectError> {
+/// Fails for anything else, including `?`, by which a server reports that the host is unknown.
+pub fn parse_host(text: &str) -> Result<Host, RedirectError> {
     if text.is_empty() {
         return Ok(Host::Same);
     }
-    let bare = text.strip_prefix('[').and_then(|t| t.strip_suffix(']')).unwrap_or(text);
-    if let Ok(ip) = bare.parse::<IpAddr>() {
-        // Nobody can be reached there.
+    let unbracketed = text.strip_prefix('[').and_then(|t| t.strip_suffix(']')).unwrap_or(text);
+    if let Ok(ip) = unbracketed.parse::<IpAddr>() {
+        // The unspecified address can't be connected to.
         return if ip.is_unspecified() {
             Err(RedirectError::Host)
         } else {
             Ok(Host::Address(ip.to_canonical()))
         };
     }
-    let label = |l: &str| {
-        !l.is_empty()
-            && l.len() <= 63
-            && l.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
+    let is_label = |text: &str| {
+        !text.is_empty()
+            && text.len() <= 63
+            && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
     };
     let name = text.strip_suffix('.').unwrap_or(text);
-    // What is all digits and dots would be an address, and is not one.
-    let numeric = name.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    if name.len() > MOST_NAME || numeric || !name.split('.').all(label) {
+    // Digits and dots alone are a malformed IPv4 address and not a host name.
+    let is_numeric = name.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    if name.len() > MAX_HOST_NAME_BYTES || is_numeric || !name.split('.').all(is_label) {
         return Err(RedirectError::Host);
     }
     Ok(Host::Name(name.to_ascii_lowercase()))
 }
 
-/// A number in digits alone: `+5` and ` 5` are none.
-fn number(text: &str) -> Option<u16> {
+/// Parses a number that consists of digits only; `+5` and ` 5` are rejected.
+fn parse_decimal(text: &str) -> Option<u16> {
     Some(text).filter(|t| t.len() <= 5 && t.bytes().all(|b| b.is_ascii_digit())).and_then(|t| t.parse().ok())
 }
 
--- a/crates/mothpier-slots/src/refresh.rs
+++ b/crates/mothpier-slots/src/refresh.rs
@@ -1,31 +1,34 @@
-//! When a node asks its boxes for their slot map, and which of them. Pure: signs and times go in, boxes to ask come out.
+//! Schedules the requests for slot maps and selects the servers that are queried. No I/O: hints and times
+//! go in, servers to query come out.
 //!
-//! The boxes pay for every question, and a reshuffle shows itself to all nodes of the tier within the same second. So the
-//! budget is the tier's: so many questions a second reach the boxes from all nodes together, whoever asks, and each
-//! node's part of it is what is left between two of its rounds. A sign (a slot that moved, a cluster that is down) is
-//! answered after a time drawn from that whole part, so that nodes that saw it together ask apart. Between rounds the
-//! redirections themselves keep the table right, slot by slot; a round that is late costs a hop, not an answer.
+//! Each request costs the servers work, and a change of the slot map is noticed by all nodes of the tier
+//! within the same second. The budget is therefore defined for the whole tier: the rate of requests to the
+//! servers from all nodes together, whichever node sends them. A node's share of it determines the interval
+//! between its rounds. A hint that the map is stale (a moved slot, a cluster that is down) starts a round
+//! after a random delay within that interval, so that nodes that notice the change together spread their
+//! requests. Between rounds, redirections correct the table slot by slot; a late round costs a redirection,
+//! but no request fails.
 
 use crate::table::{ServerId, ServerView};
 
-/// Milliseconds of a clock of the node's own.
+/// Milliseconds of the node's own clock.
 pub type Millis = u64;
 
-/// After rounds without any answer the time to the next grows up to so many doublings.
-const MOST_DOUBLINGS: u32 = 3;
-/// Between two rounds, however large the budget, milliseconds: answers take some time to come.
-const LEAST_GAP: Millis = 100;
+/// How often the interval between rounds may double after rounds without any answer.
+const MAX_INTERVAL_DOUBLINGS: u32 = 3;
+/// Minimum interval between rounds whatever the budget: answers need time to arrive.
+const MIN_ROUND_INTERVAL_MS: Millis = 100;
 
-/// How often boxes are asked.
+/// How often servers are queried.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Boxes that are asked in one round: their answers are compared.
+    /// Number of servers queried in one round, so that their answers can be compared.
     pub ask: usize,
-    /// Questions a second that all nodes of the tier may put to all boxes together.
+    /// Maximum rate of requests per second from all nodes of the tier to all servers.
     pub tier_per_s: f64,
-    /// Without any sign a round is made after this time, milliseconds.
+    /// Interval between rounds while nothing hints at a stale map, in milliseconds.
     pub calm: Millis,
-    /// Nodes in the tier.
+    /// Number of nodes in the tier.
     pub nodes: usize,
 }
 
@@ -36,144 +39,147 @@
 }
 
 impl Budget {
-    /// The mean time between two rounds of one node that has signs all the time, milliseconds.
-    pub fn gap(&self) -> Millis {
+    /// Returns the mean interval between rounds of one node that receives hints all the time, in
+    /// milliseconds.
+    pub fn round_interval(&self) -> Millis {
         let per_round = self.ask.max(1) as f64 * self.nodes.max(1) as f64;
-        ((per_round / self.tier_per_s.max(1e-3) * 1_000.0) as Millis).max(LEAST_GAP)
+        ((per_round / self.tier_per_s.max(1e-3) * 1_000.0) as Millis).max(MIN_ROUND_INTERVAL_MS)
     }
 }
 
-/// A round of questions that is out.
+/// A round of requests in progress.
 #[derive(Debug)]
 struct Round {
-    waiting: Vec<ServerId>,
-    heard: Vec<ServerView>,
+    unanswered: Vec<ServerId>,
+    views: Vec<ServerView>,
     mark: u64,
 }
 
-/// What a finished round brought.
+/// The outcome of a finished round.
 #[derive(Debug, PartialEq)]
 pub struct RoundResult {
-    /// The answers that could be read.
-    pub heard: Vec<ServerView>,
-    /// The table's mark as the round began.
+    /// The readable answers.
+    pub views: Vec<ServerView>,
+    /// The table's redirect mark when the round started.
     pub mark: u64,
 }
 
-/// When and whom one node asks.
+/// The refresh schedule of one node.
 #[derive(Debug)]
 pub struct Refresh {
     budget: Budget,
-    dice: oorandom::Rand64,
-    /// When the next round begins.
+    rng: oorandom::Rand64,
+    /// When the next round starts.
     due: Millis,
-    /// The round that is due answers a sign; else it only looks whether all is as it was.
-    signed: bool,
-    /// When the last round began, so that no sign brings the next too soon.
-    begun: Option<Millis>,
-    out: Option<Round>,
-    /// Rounds in a row that nobody answered.
-    failed: u32,
+    /// The map is known or suspected to be stale; otherwise the next round is a periodic check.
+    suspected_stale: bool,
+    /// When the last round started; enforces the interval between rounds when hints arrive.
+    last_started_at: Option<Millis>,
+    round_in_progress: Option<Round>,
+    /// Consecutive rounds without any answer, up to [`MAX_INTERVAL_DOUBLINGS`].
+    failed_rounds: u32,
     rounds: u64,
 }
 
 impl Refresh {
-    /// A node begins to ask, as if it had a sign: it knows nothing yet.
+    /// Creates a schedule whose first round is due soon, as there is no map yet.
     pub fn new(budget: Budget, seed: u64, now: Millis) -> Self {
-        let dice = oorandom::Rand64::new(u128::from(seed) << 64 | 0x736c_6f74);
+        let rng = oorandom::Rand64::new(u128::from(seed) << 64 | 0x736c_6f74);
         let mut refresh = Refresh {
             budget,
-            dice,
+            rng,
             due: Millis::MAX,
-            signed: false,
-            begun: None,
-            out: None,
-            failed: 0,
+            suspected_stale: false,
+            last_started_at: None,
+            round_in_progress: None,
+            failed_rounds: 0,
             rounds: 0,
         };
-        refresh.sign(now);
+        refresh.report_stale(now);
         refresh
     }
 
-    /// When the next round is due; `None` while one is out.
+    /// Returns when the next round is due; `None` while one is in progress.
     pub fn due(&self) -> Option<Millis> {
-        self.out.is_none().then_some(self.due)
+        self.round_in_progress.is_none().then_some(self.due)
     }
 
-    /// Rounds begun so far.
+    /// Returns the number of rounds started so far.
     pub fn rounds(&self) -> u64 {
         self.rounds
     }
 
-    /// Something shows that the map is old: the next round is drawn nearer, never nearer than the budget allows.
-    pub fn sign(&mut self, now: Millis) {
-        if self.signed {
+    /// Reports a hint that the map is stale: the next round is brought forward as far as the budget allows.
+    pub fn report_stale(&mut self, now: Millis) {
+        if self.suspected_stale {
             return;
         }
-        self.signed = true;
-        let gap = self.gap();
-        let earliest = self.begun.map_or(now, |begun| (begun + gap / 2).max(now));
-        self.due = self.due.min(earliest + self.within(gap));
+        self.suspected_stale = true;
+        let round_interval = self.round_interval();
+        let earliest = self
+            .last_started_at
+            .map_or(now, |last_started_at| (last_started_at + round_interval / 2).max(now));
+        self.due = self.due.min(earliest + self.random_delay(round_interval));
     }
 
-    /// Begins the round that is due: the boxes to ask, drawn from those that the list has ready.
+    /// Starts the round that is due and returns the servers to query, drawn at random from the ready ones.
     pub fn begin(&mut self, now: Millis, ready: &[ServerId], mark: u64) -> Vec<ServerId> {
-        if self.out.is_some() || now < self.due {
+        if self.round_in_progress.is_some() || now < self.due {
             return Vec::new();
         }
-        (self.begun, self.signed) = (Some(now), false);
-        let mut left = ready.to_vec();
-        let mut ask = Vec::new();
-        while ask.len() < self.budget.ask && !left.is_empty() {
-            let at = self.dice.rand_range(0..left.len() as u64) as usize;
-            ask.push(left.swap_remove(at));
+        (self.last_started_at, self.suspected_stale) = (Some(now), false);
+        let mut candidates = ready.to_vec();
+        let mut selected = Vec::new();
+        while selected.len() < self.budget.ask && !candidates.is_empty() {
+            let index = self.rng.rand_range(0..candidates.len() as u64) as usize;
+            selected.push(candidates.swap_remove(index));
         }
-        if ask.is_empty() {
-            // Nobody to ask yet: the list comes late, too.
-            self.ended(now, false);
-            return ask;
+        if selected.is_empty() {
+            // No server is ready: the server list may not have arrived yet.
+            self.finish_round(now, false);
+            return selected;
         }
         self.rounds += 1;
-        self.out = Some(Round { waiting: ask.clone(), heard: Vec::new(), mark });
-        ask
+        self.round_in_progress = Some(Round { unanswered: selected.clone(), views: Vec::new(), mark });
+        selected
     }
 
-    /// The answer of a box that was asked, or none that could be read. Every question ends with one or the other.
-    pub fn answered(
-        &mut self,
-        now: Millis,
-        from: ServerId,
-        heard: Option<ServerView>,
-    ) -> Option<RoundResult> {
-        let round = self.out.as_mut()?;
-        let at = round.waiting.iter().position(|id| *id == from)?;
-        round.waiting.swap_remove(at);
-        round.heard.extend(heard);
-        if !round.waiting.is_empty() {
+    /// Records the answer of a queried server, or `None` if none was readable. Must be called once for each
+    /// queried server.
+    pub fn answered(&mut self, now: Millis, from: ServerId, view: Option<ServerView>) -> Option<RoundResult> {
+        let round = self.round_in_progress.as_mut()?;
+        let index = round.unanswered.iter().position(|id| *id == from)?;
+        round.unanswered.swap_remove(index);
+        round.views.extend(view);
+        if !round.unanswered.is_empty() {
             return None;
         }
-        let Round { heard, mark, .. } = self.out.take()?;
-        self.ended(now, !heard.is_empty());
-        Some(RoundResult { heard, mark })
+        let Round { views, mark, .. } = self.round_in_progress.take()?;
+        self.finish_round(now, !views.is_empty());
+        Some(RoundResult { views, mark })
     }
 
-    fn ended(&mut self, now: Millis, good: bool) {
-        self.failed = if good { 0 } else { (self.failed + 1).min(MOST_DOUBLINGS) };
-        let begun = self.begun.unwrap_or(now);
-        // A sign that came while the questions were out may be newer than the answers.
-        let again = self.signed || !good;
-        self.signed = again;
-        let (rest, spread) =
-            if again { (self.gap() / 2, self.gap()) } else { (self.budget.calm / 2, self.budget.calm) };
-        self.due = (begun + rest).max(now) + self.within(spread);
+    fn finish_round(&mut self, now: Millis, any_answer: bool) {
+        self.failed_rounds =
+            if any_answer { 0 } else { (self.failed_rounds + 1).min(MAX_INTERVAL_DOUBLINGS) };
+        let last_started_at = self.last_started_at.unwrap_or(now);
+        // A hint that arrived during the round may be newer than the answers.
+        let retry_soon = self.suspected_stale || !any_answer;
+        self.suspected_stale = retry_soon;
+        let (min_delay, spread) = if retry_soon {
+            (self.round_interval() / 2, self.round_interval())
+        } else {
+            (self.budget.calm / 2, self.budget.calm)
+        };
+        self.due = (last_started_at + min_delay).max(now) + self.random_delay(spread);
     }
 
-    fn gap(&self) -> Millis {
-        self.budget.gap() << self.failed
+    fn round_interval(&self) -> Millis {
+        self.budget.round_interval() << self.failed_rounds
     }
 
-    fn within(&mut self, span: Millis) -> Millis {
-        self.dice.rand_range(0..span.max(1))
+    fn random_delay(&mut self, limit: Millis) -> Millis {
+        self.rng.rand_range(0..limit.max(1))
     }
 }
 
--- a/crates/mothpier-slots/src/refresh/tests.rs
+++ b/crates/mothpier-slots/src/refresh/tests.rs
@@ -1,99 +1,107 @@
 use super::*;
 use crate::view::View;
 
-fn heard() -> Option<ServerView> {
+fn view() -> Option<ServerView> {
     Some((([10, 0, 0, 1], 1).into(), View::default()))
 }
 
 const READY: [ServerId; 5] = [1, 2, 3, 4, 5];
 
-/// Plays a tier whose nodes see a sign at every time given, for so long; the times of all questions.
-fn tier(budget: Budget, signs: impl Fn(Millis) -> bool, until: Millis, good: bool) -> Vec<Millis> {
+/// Runs a tier whose nodes all receive a hint whenever `hints` says so, and returns the times of all
+/// requests.
+fn request_times(
+    budget: Budget,
+    hints: impl Fn(Millis) -> bool,
+    end: Millis,
+    answering: bool,
+) -> Vec<Millis> {
     let mut nodes: Vec<Refresh> = (0..budget.nodes).map(|n| Refresh::new(budget, n as u64, 0)).collect();
-    let mut asked = Vec::new();
-    for now in 0..until {
+    let mut requests = Vec::new();
+    for now in 0..end {
         for node in &mut nodes {
-            if signs(now) {
-                node.sign(now);
+            if hints(now) {
+                node.report_stale(now);
             }
             for id in node.begin(now, &READY, 0) {
-                asked.push(now);
-                node.answered(now, id, heard().filter(|_| good));
+                requests.push(now);
+                node.answered(now, id, view().filter(|_| answering));
             }
         }
     }
-    asked
+    requests
 }
 
-/// In any second at most; the times are in order.
-fn most_in_a_second(asked: &[Millis]) -> usize {
-    let within = |at: usize| asked[at..].iter().take_while(|t| **t < asked[at] + 1_000).count();
-    (0..asked.len()).map(within).max().unwrap_or(0)
+/// Returns the maximum number of requests within any second. The times must be in ascending order.
+fn max_per_second(requests: &[Millis]) -> usize {
+    let count_from =
+        |index: usize| requests[index..].iter().take_while(|time| **time < requests[index] + 1_000).count();
+    (0..requests.len()).map(count_from).max().unwrap_or(0)
 }
 
 #[test]
-fn nodes_that_see_a_reshuffle_together_ask_apart_and_within_the_tiers_budget() {
+fn nodes_that_notice_a_slot_migration_together_spread_their_requests_within_the_budget() {
     for nodes in [1, 12, 60] {
         let budget = Budget { nodes, ..Budget::default() };
-        // Signs all the time: the mean keeps the budget, and no second has a stampede.
-        let asked = tier(budget, |_| true, 20_000, true);
-        let mean = asked.len() as f64 / 20.0;
-        assert!((20.0..=48.0).contains(&mean), "{nodes} nodes ask {mean} times a second");
-        let most = most_in_a_second(&asked);
-        assert!(most <= 100, "{nodes} nodes ask {most} times in one second");
-        // One sign after quiet, at all nodes in one millisecond: each asks once, spread over its part.
-        let quiet = Budget { calm: 1_000_000, ..budget };
-        let asked = tier(quiet, |now| now == 10_000, 24_000, true);
-        let after: Vec<Millis> = asked.into_iter().filter(|t| *t >= 10_000).collect();
-        assert_eq!(after.len(), nodes * budget.ask);
-        assert!(most_in_a_second(&after) <= 75, "{nodes}: {}", most_in_a_second(&after));
+        // Continuous hints: the mean rate stays near the budget, and no second has a burst.
+        let requests = request_times(budget, |_| true, 20_000, true);
+        let mean = requests.len() as f64 / 20.0;
+        assert!((20.0..=48.0).contains(&mean), "{nodes} nodes send {mean} requests per second");
+        let max = max_per_second(&requests);
+        assert!(max <= 100, "{nodes} nodes send {max} requests in one second");
+        // One hint at all nodes in the same millisecond after a quiet time: each node queries once, spread
+        // over its interval.
+        let rare_checks = Budget { calm: 1_000_000, ..budget };
+        let requests = request_times(rare_checks, |now| now == 10_000, 24_000, true);
+        let after_hint: Vec<Millis> = requests.into_iter().filter(|time| *time >= 10_000).collect();
+        assert_eq!(after_hint.len(), nodes * budget.ask);
+        assert!(max_per_second(&after_hint) <= 75, "{nodes}: {}", max_per_second(&after_hint));
     }
 }
 
 #[test]
-fn rounds_that_nobody_answers_become_rarer_and_one_answer_ends_that() {
+fn unanswered_rounds_back_off_until_one_is_answered() {
     let budget = Budget::default();
-    let good = tier(budget, |_| true, 60_000, true).len();
-    let bad = tier(budget, |_| true, 60_000, false).len();
-    assert!(bad * 4 < good, "{bad} questions where nobody answers, {good} where all do");
-    assert!(bad > 20, "{bad}: it must not give up");
+    let answering = request_times(budget, |_| true, 60_000, true).len();
+    let unanswered = request_times(budget, |_| true, 60_000, false).len();
+    assert!(unanswered * 4 < answering, "{unanswered} requests without answers, {answering} with answers");
+    assert!(unanswered > 20, "{unanswered} requests: the node must not stop querying");
     let mut node = Refresh::new(budget, 1, 0);
     let mut now = 0;
-    for good in [false, false, false, true] {
+    for answering in [false, false, false, true] {
         now = node.due().unwrap();
-        let ask = node.begin(now, &READY, 7);
-        assert_eq!(ask.len(), 3);
-        let done: Vec<_> =
-            ask.iter().filter_map(|id| node.answered(now, *id, heard().filter(|_| good))).collect();
-        assert_eq!(done.len(), 1);
-        assert_eq!((done[0].mark, done[0].heard.len()), (7, if good { 3 } else { 0 }));
+        let servers = node.begin(now, &READY, 7);
+        assert_eq!(servers.len(), 3);
+        let results: Vec<_> =
+            servers.iter().filter_map(|id| node.answered(now, *id, view().filter(|_| answering))).collect();
+        assert_eq!(results.len(), 1);
+        assert_eq!((results[0].mark, results[0].views.len()), (7, if answering { 3 } else { 0 }));
     }
     assert!(node.due().unwrap() >= now + budget.calm / 2);
 }
 
 #[test]
-fn without_signs_a_round_is_rare_and_only_answers_of_the_present_round_count() {
-    let asked = tier(Budget::default(), |_| false, 600_000, true);
-    assert!((15..=63).contains(&asked.len()), "{} in ten minutes", asked.len());
+fn rounds_are_rare_without_hints_and_only_answers_of_the_current_round_count() {
+    let requests = request_times(Budget::default(), |_| false, 600_000, true);
+    assert!((15..=63).contains(&requests.len()), "{} requests in ten minutes", requests.len());
     let mut node = Refresh::new(Budget::default(), 1, 0);
-    assert_eq!(node.answered(0, 1, heard()), None);
+    assert_eq!(node.answered(0, 1, view()), None);
     let now = node.due().unwrap();
     assert!(node.begin(now.wrapping_sub(1), &READY, 0).is_empty() || now == 0);
-    let ask = node.begin(now, &READY, 0);
+    let servers = node.begin(now, &READY, 0);
     assert_eq!(node.due(), None);
-    assert!(node.begin(now + 1, &READY, 0).is_empty(), "two rounds at a time");
-    assert_eq!(node.answered(now, 77, heard()), None, "a box that was not asked");
-    assert_eq!(node.answered(now, ask[0], heard()), None);
-    assert_eq!(node.answered(now, ask[0], heard()), None, "the same answer twice");
-    // A sign meanwhile: the next round follows as the budget allows.
-    node.sign(now + 1);
-    assert_eq!(node.answered(now + 2, ask[1], None), None);
-    assert_eq!(node.answered(now + 2, ask[2], None).map(|d| d.heard.len()), Some(1));
-    assert!(node.due().unwrap() <= now + 2 * Budget::default().gap());
+    assert!(node.begin(now + 1, &READY, 0).is_empty(), "a second round started while one is in progress");
+    assert_eq!(node.answered(now, 77, view()), None, "a server that was not queried");
+    assert_eq!(node.answered(now, servers[0], view()), None);
+    assert_eq!(node.answered(now, servers[0], view()), None, "a second answer of the same server");
+    // A hint during the round: the next round follows as soon as the budget allows.
+    node.report_stale(now + 1);
+    assert_eq!(node.answered(now + 2, servers[1], None), None);
+    assert_eq!(node.answered(now + 2, servers[2], None).map(|result| result.views.len()), Some(1));
+    assert!(node.due().unwrap() <= now + 2 * Budget::default().round_interval());
 }
 
 #[test]
-fn with_nobody_to_ask_it_waits_for_the_list() {
+fn without_ready_servers_the_round_is_retried() {
     let mut node = Refresh::new(Budget::default(), 1, 0);
     let now = node.due().unwrap();
     assert!(node.begin(now, &[], 0).is_empty());
--- a/crates/mothpier-slots/src/slot/tests.rs
+++ b/crates/mothpier-slots/src/slot/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn the_specifications_vectors() {
+fn slots_match_the_examples_of_the_specification() {
     // Appendix A: the checksum of "123456789" is 31C3.
     assert_eq!(CRC.checksum(b"123456789"), 0x31c3);
     assert_eq!(slot_of(b"123456789"), 0x31c3);
-    // The page of CLUSTER KEYSLOT.
+    // The examples of the reference page of CLUSTER KEYSLOT.
     assert_eq!(slot_of(b"somekey"), 11_058);
     assert_eq!(slot_of(b"foo{hash_tag}"), 2_515);
     assert_eq!(slot_of(b"bar{hash_tag}"), 2_515);
@@ -13,8 +13,8 @@
 }
 
 #[test]
-fn hash_tags_as_the_specification_tells_them() {
-    // Its examples, in its order, and what it says in words.
+fn hash_tags_follow_the_specification() {
+    // The examples of the specification in its order, and further cases of the rules in its text.
     assert_eq!(hashed_part(b"{user1000}.following"), b"user1000");
     assert_eq!(hashed_part(b"foo{}{bar}"), b"foo{}{bar}");
     assert_eq!(hashed_part(b"foo{{bar}}zap"), b"{bar");
--- a/crates/mothpier-slots/src/table.rs
+++ b/crates/mothpier-slots/src/table.rs
@@ -1,16 +1,18 @@
-//! Which boxes of a pool hold which slots, as one node has it: merged from what several boxes say, corrected by
-//! redirections that proved true, and put into the numbers of the list of servers. Pure.
+//! The slot table of one node: merged from the maps that several servers report, corrected by confirmed
+//! redirections, and expressed in the numbers of the server list. No I/O.
 //!
-//! **Merging.** Of the boxes that say something of a slot those with the highest epoch count; of them the owner that
-//! most name; at a tie the one held so far, else the lowest number. A round whose highest epoch lies below the one
-//! held is dropped, for all who were asked have an older map; after [`BEHIND`] such rounds in a row the cluster itself
-//! has begun anew, and they count.
+//! **Merging.** For each slot, only the maps with the highest epoch among those that mention it count. The
+//! owner named by most of them wins; on a tie the previous owner wins, else the lowest number. A round whose
+//! highest epoch is below the current one is discarded, as all queried servers have an older map. After
+//! [`CLUSTER_RESET_ROUNDS`] such rounds in a row the cluster is taken to have been recreated, and the round
+//! is accepted.
 //!
-//! **Redirections.** `MOVED` moves a slot here once the box that it names has taken a command for it: a box with an old
-//! map, or one that lies, can't turn the table by words alone. `ASK` moves nothing.
+//! **Redirections.** `MOVED` moves a slot in the table only after the named server has accepted a command for
+//! it, so that a server with a stale map, or a faulty one, can't change the table by its reply alone. `ASK`
+//! changes nothing.
 //!
-//! What a box is called in a map is kept as the map has it, and looked up in the list again with each change of the
-//! list: the list may hear of a box seconds after the cluster does.
+//! The endpoints of servers are kept as the map reports them and looked up again after each change of the
+//! server list, because the list may learn of a server seconds after the cluster does.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -19,41 +21,42 @@
 use crate::slot::SLOTS;
 use crate::view::{ClusterMember, Range, View};
 
-/// Number of a server in the list, the same at every node.
+/// The number of a server in the server list, the same at every node.
 pub type ServerId = u32;
 
-/// So many rounds in a row with an epoch below the one held mean that the cluster began anew.
-pub const BEHIND: u32 = 3;
-/// Names that are remembered at the most; a tier's boxes are hundreds.
-const MOST_ALIASES: usize = 4_096;
+/// Number of consecutive rounds with an epoch below the current one after which the cluster is taken to have
+/// been recreated.
+pub const CLUSTER_RESET_ROUNDS: u32 = 3;
+/// Maximum number of host names whose addresses are kept; a tier has hundreds of servers.
+const MAX_ALIASES: usize = 4_096;
 
-/// What a node knows of the list of servers: which one stands at an address.
+/// Looks up the server at an address in the server list.
 pub type ServerLookup<'a> = &'a dyn Fn(SocketAddr) -> Option<ServerId>;
 
-/// What a box said, and the address at which it was asked.
+/// The map that a server reported, with the address at which the server was queried.
 pub type ServerView = (SocketAddr, View);
 
-/// Slots next to each other that the same boxes hold: the owner first.
+/// Consecutive slots that are assigned to the same servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotAssignment {
     /// The first slot.
     pub first: u16,
     /// The last slot.
     pub last: u16,
-    /// The owner, then those that may be read.
+    /// The owner, followed by the replicas that may be read.
     pub boxes: Vec<ServerId>,
 }
 
-/// How a round of answers was taken.
+/// The outcome of merging a round of answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Merged {
-    /// Its epoch.
+    /// The highest epoch of the round.
     pub epoch: u64,
-    /// It was dropped: all who answered have an older map.
+    /// The round was discarded because all answers have an older map, or because there were none.
     pub stale: bool,
-    /// Slots of which no box, or none of the list, is the owner.
+    /// Number of slots without an owner, or whose owner is not in the server list.
     pub uncovered: u16,
-    /// Slots that boxes of one epoch give to different owners.
+    /// Number of slots for which maps of the same epoch name different owners.
     pub disputed: u16,
 }
 
@@ -61,209 +64,223 @@
 #[derive(Debug, Default)]
 pub struct Table {
     epoch: u64,
-    /// What the table is made of, for the next change of the list.
-    heard: Vec<ServerView>,
-    /// For each slot a place in `homes`.
+    /// The maps that the table was built from; used to rebuild it after a change of the server list.
+    views: Vec<ServerView>,
+    /// For each slot an index into `server_sets`.
     slots: Vec<u32>,
-    /// All sets of boxes that hold slots; the first is of nobody.
-    homes: Vec<Vec<ServerId>>,
+    /// All distinct sets of servers that hold slots; the first one is empty.
+    server_sets: Vec<Vec<ServerId>>,
     aliases: BTreeMap<String, IpAddr>,
-    behind: u32,
-    /// Slots that a redirection moved, with the count of all such moves until then.
-    learnt: BTreeMap<u16, (u64, ServerId)>,
-    moves: u64,
-    /// Whether copies may be read.
-    copies: bool,
+    older_rounds: u32,
+    /// Slots moved by redirections, each with the number of the move and the new owner.
+    learned_moves: BTreeMap<u16, (u64, ServerId)>,
+    move_count: u64,
+    /// Whether replicas may be read.
+    read_replicas: bool,
 }
 
 impl Table {
-    /// A table that knows nothing; `copies` says that boxes that hold copies may be read.
-    pub fn new(copies: bool) -> Self {
-        Table { slots: vec![0; SLOTS.into()], homes: vec![Vec::new()], copies, ..Table::default() }
+    /// Creates an empty table; `read_replicas` allows reads from replicas.
+    pub fn new(read_replicas: bool) -> Self {
+        Table {
+            slots: vec![0; SLOTS.into()],
+            server_sets: vec![Vec::new()],
+            read_replicas,
+            ..Table::default()
+        }
     }
 
-    /// The epoch of the map that it is made of; 0 before the first.
+    /// Returns the epoch of the merged map; 0 before the first one.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether no map has come yet.
+    /// Returns whether no map has been received yet.
     pub fn is_empty(&self) -> bool {
-        self.heard.is_empty()
+        self.views.is_empty()
     }
 
-    /// The boxes that hold a slot, its owner first; none where it is uncovered.
-    pub fn home(&self, slot: u16) -> &[ServerId] {
-        self.slots.get(usize::from(slot)).map_or(&[], |at| &self.homes[*at as usize])
+    /// Returns the servers that hold a slot, the owner first; empty if the slot is uncovered.
+    pub fn servers_of(&self, slot: u16) -> &[ServerId] {
+        self.slots.get(usize::from(slot)).map_or(&[], |index| &self.server_sets[*index as usize])
     }
 
-    /// Stands for the present: a round of questions that begins now knows nothing of later redirections.
-    pub fn mark(&self) -> u64 {
-        self.moves
+    /// Returns the number of redirections recorded so far. A refresh round that starts now can't reflect
+    /// later ones.
+    pub fn redirect_mark(&self) -> u64 {
+        self.move_count
     }
 
-    /// Where a place leads, seen from the box that named it.
-    pub fn address(&self, place: &Endpoint, from: SocketAddr) -> Option<SocketAddr> {
-        place.address(from, &|name| self.aliases.get(name).copied())
+    /// Resolves an endpoint reported by the server contacted at `from`.
+    pub fn resolve(&self, endpoint: &Endpoint, from: SocketAddr) -> Option<SocketAddr> {
+        endpoint.resolve(from, &|name| self.aliases.get(name).copied())
     }
 
-    /// Takes a round of answers that began at a mark.
-    pub fn merge(&mut self, heard: Vec<ServerView>, mark: u64, listed: ServerLookup<'_>) -> Merged {
-        let epoch = heard.iter().map(|(_, view)| view.epoch).max().unwrap_or_default();
-        if heard.is_empty() || (epoch < self.epoch && self.behind + 1 < BEHIND) {
-            self.behind += u32::from(!heard.is_empty());
+    /// Merges the answers of a round that started at the redirect mark `mark`.
+    pub fn merge(&mut self, views: Vec<ServerView>, mark: u64, lookup: ServerLookup<'_>) -> Merged {
+        let epoch = views.iter().map(|(_, view)| view.epoch).max().unwrap_or_default();
+        if views.is_empty() || (epoch < self.epoch && self.older_rounds + 1 < CLUSTER_RESET_ROUNDS) {
+            self.older_rounds += u32::from(!views.is_empty());
             return Merged { epoch, stale: true, ..Merged::default() };
         }
-        (self.behind, self.epoch) = (0, epoch);
+        (self.older_rounds, self.epoch) = (0, epoch);
         for alias in
-            heard.iter().flat_map(|(_, v)| &v.ranges).flat_map(Range::seats).filter_map(|s| s.alias.clone())
+            views.iter().flat_map(|(_, v)| &v.ranges).flat_map(Range::members).filter_map(|s| s.alias.clone())
         {
-            if self.aliases.len() < MOST_ALIASES || self.aliases.contains_key(&alias.0) {
+            if self.aliases.len() < MAX_ALIASES || self.aliases.contains_key(&alias.0) {
                 self.aliases.insert(alias.0, alias.1);
             }
         }
-        self.heard = heard;
-        // What was learnt before the questions went out is in the answers, or was overtaken.
-        self.learnt.retain(|_, (move_, _)| *move_ > mark);
-        self.build(listed)
+        self.views = views;
+        // The answers already reflect, or supersede, redirections recorded before the requests were sent.
+        self.learned_moves.retain(|_, (move_number, _)| *move_number > mark);
+        self.build(lookup)
     }
 
-    /// Looks all boxes up in the list again, after a change of it.
-    pub fn relist(&mut self, listed: ServerLookup<'_>) -> Merged {
-        self.build(listed)
+    /// Looks up all servers again after a change of the server list.
+    pub fn relist(&mut self, lookup: ServerLookup<'_>) -> Merged {
+        self.build(lookup)
     }
 
-    /// A redirection proved true: the box that it named took a command for the slot. Gives what changed.
+    /// Records a confirmed redirection: the named server accepted a command for the slot. Returns what
+    /// changed.
     pub fn moved(&mut self, slot: u16, to: ServerId) -> Option<SlotAssignment> {
-        if slot >= SLOTS || self.home(slot).first() == Some(&to) {
+        if slot >= SLOTS || self.servers_of(slot).first() == Some(&to) {
             return None;
         }
-        self.moves += 1;
-        self.learnt.insert(slot, (self.moves, to));
-        // Its copies are not known: only the owner is told by a redirection.
-        self.slots[usize::from(slot)] = self.place(vec![to]);
+        self.move_count += 1;
+        self.learned_moves.insert(slot, (self.move_count, to));
+        // The replicas are unknown: a redirection names only the owner.
+        self.slots[usize::from(slot)] = self.intern(vec![to]);
         Some(SlotAssignment { first: slot, last: slot, boxes: vec![to] })
     }
 
-    /// The whole table in ranges, in order; slots that nobody holds are left out.
+    /// Returns the table as ranges in ascending order, without uncovered slots.
     pub fn ranges(&self) -> Vec<SlotAssignment> {
         let mut ranges: Vec<(u16, u16, u32)> = Vec::new();
-        for (slot, place) in (0u16..).zip(&self.slots) {
+        for (slot, set_index) in (0u16..).zip(&self.slots) {
             match ranges.last_mut() {
-                Some((_, last, of)) if of == place => *last = slot,
-                _ => ranges.push((slot, slot, *place)),
+                Some((_, last, range_set)) if range_set == set_index => *last = slot,
+                _ => ranges.push((slot, slot, *set_index)),
             }
         }
-        let held = ranges.into_iter().filter(|(.., place)| *place > 0);
-        held.map(|(first, last, place)| SlotAssignment {
-            first,
-            last,
-            boxes: self.homes[place as usize].clone(),
-        })
-        .collect()
+        let assigned = ranges.into_iter().filter(|(.., set_index)| *set_index > 0);
+        assigned
+            .map(|(first, last, set_index)| SlotAssignment {
+                first,
+                last,
+                boxes: self.server_sets[set_index as usize].clone(),
+            })
+            .collect()
     }
 
-    fn place(&mut self, boxes: Vec<ServerId>) -> u32 {
-        let at = self.homes.iter().position(|h| *h == boxes).unwrap_or_else(|| {
-            self.homes.push(boxes);
-            self.homes.len() - 1
+    fn intern(&mut self, servers: Vec<ServerId>) -> u32 {
+        let index = self.server_sets.iter().position(|set| *set == servers).unwrap_or_else(|| {
+            self.server_sets.push(servers);
+            self.server_sets.len() - 1
         });
-        at as u32
+        index as u32
     }
 
-    fn build(&mut self, listed: ServerLookup<'_>) -> Merged {
+    fn build(&mut self, lookup: ServerLookup<'_>) -> Merged {
         let mut merged = Merged { epoch: self.epoch, ..Merged::default() };
-        let before = Table {
+        let previous = Table {
             slots: std::mem::take(&mut self.slots),
-            homes: std::mem::take(&mut self.homes),
+            server_sets: std::mem::take(&mut self.server_sets),
             ..Table::default()
         };
-        (self.slots, self.homes) = (vec![0; SLOTS.into()], vec![Vec::new()]);
-        let heard = std::mem::take(&mut self.heard);
-        let claims: Vec<Claims> = heard.iter().map(|(from, view)| self.claims(*from, view, listed)).collect();
-        // Slots come in runs of which all views say the same: each run is settled once.
-        let mut last: Option<(Settled, usize)> = None;
+        (self.slots, self.server_sets) = (vec![0; SLOTS.into()], vec![Vec::new()]);
+        let views = std::mem::take(&mut self.views);
+        let claims: Vec<Claims> = views.iter().map(|(from, view)| self.claims(*from, view, lookup)).collect();
+        // Consecutive slots often have the same claims in all maps: each such run is resolved once.
+        let mut last: Option<(SlotWinner, usize)> = None;
         for slot in 0..usize::from(SLOTS) {
-            let alike = |c: &Claims| slot > 0 && c.slots[slot] == c.slots[slot - 1];
-            let same = slot > 0 && before.slots[slot] == before.slots[slot - 1] && claims.iter().all(alike);
-            let (settled, place) = match last.take().filter(|_| same) {
+            let same_as_last_slot = |c: &Claims| slot > 0 && c.slots[slot] == c.slots[slot - 1];
+            let unchanged = slot > 0
+                && previous.slots[slot] == previous.slots[slot - 1]
+                && claims.iter().all(same_as_last_slot);
+            let (winner, set_index) = match last.take().filter(|_| unchanged) {
                 Some(last) => last,
                 None => {
-                    let settled = settle(&claims, slot, before.home(slot as u16).first().copied());
-                    let place = self.place(settled.home.clone());
-                    (settled, place as usize)
+                    let winner =
+                        choose_winner(&claims, slot, previous.servers_of(slot as u16).first().copied());
+                    let set_index = self.intern(winner.servers.clone());
+                    (winner, set_index as usize)
                 }
             };
-            merged.uncovered += u16::from(settled.home.is_empty());
-            merged.disputed += u16::from(settled.disputed);
-            self.slots[slot] = place as u32;
-            last = Some((settled, place));
+            merged.uncovered += u16::from(winner.servers.is_empty());
+            merged.disputed += u16::from(winner.disputed);
+            self.slots[slot] = set_index as u32;
+            last = Some((winner, set_index));
         }
-        self.heard = heard;
-        for (slot, (_, to)) in self.learnt.clone() {
-            self.slots[usize::from(slot)] = self.place(vec![to]);
+        self.views = views;
+        for (slot, (_, to)) in self.learned_moves.clone() {
+            self.slots[usize::from(slot)] = self.intern(vec![to]);
         }
         merged
     }
 
-    /// What one view says of each slot, in numbers of the list.
-    fn claims(&self, from: SocketAddr, view: &View, listed: ServerLookup<'_>) -> Claims {
-        let mut claims = Claims { epoch: view.epoch, slots: vec![None; SLOTS.into()], homes: Vec::new() };
-        let find = |seat: &ClusterMember| {
-            seat.places.iter().filter_map(|place| self.address(place, from)).find_map(listed)
+    /// Returns what one map says about each slot, in numbers of the server list.
+    fn claims(&self, from: SocketAddr, view: &View, lookup: ServerLookup<'_>) -> Claims {
+        let mut claims =
+            Claims { epoch: view.epoch, slots: vec![None; SLOTS.into()], server_sets: Vec::new() };
+        let find = |member: &ClusterMember| {
+            member.endpoints.iter().filter_map(|endpoint| self.resolve(endpoint, from)).find_map(lookup)
         };
         for range in &view.ranges {
-            let mut home: Vec<ServerId> = find(&range.owner).into_iter().collect();
-            if self.copies && !home.is_empty() {
-                for copy in range.copies.iter().filter_map(find) {
-                    if !home.contains(&copy) {
-                        home.push(copy);
+            let mut servers: Vec<ServerId> = find(&range.owner).into_iter().collect();
+            if self.read_replicas && !servers.is_empty() {
+                for replica in range.replicas.iter().filter_map(find) {
+                    if !servers.contains(&replica) {
+                        servers.push(replica);
                     }
                 }
             }
-            claims.homes.push(home);
-            let place = (claims.homes.len() - 1) as u32;
+            claims.server_sets.push(servers);
+            let set_index = (claims.server_sets.len() - 1) as u32;
             for slot in range.first..=range.last.min(SLOTS - 1) {
-                // A view that gives a slot twice means it once: the first counts.
-                claims.slots[usize::from(slot)].get_or_insert(place);
+                // If a map assigns a slot twice, the first assignment counts.
+                claims.slots[usize::from(slot)].get_or_insert(set_index);
             }
         }
         claims
     }
 }
 
-/// Who holds a run of slots.
-struct Settled {
-    home: Vec<ServerId>,
+/// The servers chosen for a slot.
+struct SlotWinner {
+    servers: Vec<ServerId>,
     disputed: bool,
 }
 
-/// Of the views with the highest epoch that say anything of a slot, be it an owner that the list lacks, the owner that
-/// most name; at a tie the one held before, else the lowest number.
-fn settle(claims: &[Claims], slot: usize, before: Option<ServerId>) -> Settled {
-    let said = |c: &Claims| c.slots[slot].map(|at| c.homes[at as usize].clone());
+/// Chooses the servers of a slot. Only the maps with the highest epoch among those that mention the slot
+/// count, even if they name an owner that is not in the server list. The owner named by most wins; on a tie
+/// the previous owner, else the lowest number.
+fn choose_winner(claims: &[Claims], slot: usize, previous: Option<ServerId>) -> SlotWinner {
+    let claimed = |c: &Claims| c.slots[slot].map(|index| c.server_sets[index as usize].clone());
     let epoch = claims.iter().filter(|c| c.slots[slot].is_some()).map(|c| c.epoch).max();
     let mut votes: Vec<(usize, Vec<ServerId>)> = Vec::new();
-    for home in claims.iter().filter(|c| Some(c.epoch) == epoch).filter_map(said) {
-        let Some(owner) = home.first() else { continue };
-        match votes.iter_mut().find(|(_, h)| h.first() == Some(owner)) {
+    for servers in claims.iter().filter(|c| Some(c.epoch) == epoch).filter_map(claimed) {
+        let Some(owner) = servers.first() else { continue };
+        match votes.iter_mut().find(|(_, servers)| servers.first() == Some(owner)) {
             Some(vote) => vote.0 += 1,
-            None => votes.push((1, home)),
+            None => votes.push((1, servers)),
         }
     }
     let disputed = votes.len() > 1;
-    let best = votes.into_iter().max_by_key(|(count, home)| {
-        let owner = home.first().copied();
-        (*count, owner == before, std::cmp::Reverse(owner))
+    let best = votes.into_iter().max_by_key(|(count, servers)| {
+        let owner = servers.first().copied();
+        (*count, owner == previous, std::cmp::Reverse(owner))
     });
-    Settled { home: best.map(|(_, home)| home).unwrap_or_default(), disputed }
+    SlotWinner { servers: best.map(|(_, servers)| servers).unwrap_or_default(), disputed }
 }
 
-/// What one view says of each slot: a place in `homes`, which may be of nobody in the list.
+/// The assignments of one map: for each slot an index into `server_sets`, whose sets may be empty if the
+/// server list has none of the servers.
 struct Claims {
     epoch: u64,
     slots: Vec<Option<u32>>,
-    homes: Vec<Vec<ServerId>>,
+    server_sets: Vec<Vec<ServerId>>,
 }
 
 #[cfg(test)]
--- a/crates/mothpier-slots/src/table/tests.rs
+++ b/crates/mothpier-slots/src/table/tests.rs
@@ -1,25 +1,25 @@
 use super::*;
-use crate::redirect::{Host, place};
+use crate::redirect::{Host, parse_endpoint};
 
-fn at(number: u8) -> SocketAddr {
+fn address_of(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, number], 7000))
 }
 
-/// The list: boxes 1 to 9 at their addresses.
-fn listed(address: SocketAddr) -> Option<ServerId> {
-    (1..10).find(|n| at(*n) == address).map(ServerId::from)
+/// The server list: servers 1 to 9 at their addresses.
+fn lookup(addr: SocketAddr) -> Option<ServerId> {
+    (1..10).find(|n| address_of(*n) == addr).map(ServerId::from)
 }
 
-fn seat(text: &str) -> ClusterMember {
-    ClusterMember { places: vec![place(text).unwrap()], alias: None }
+fn member(text: &str) -> ClusterMember {
+    ClusterMember { endpoints: vec![parse_endpoint(text).unwrap()], alias: None }
 }
 
 fn view(epoch: u64, ranges: &[(u16, u16, &str)]) -> View {
     let range = |(first, last, owner): &(u16, u16, &str)| Range {
         first: *first,
         last: *last,
-        owner: seat(owner),
-        copies: Vec::new(),
+        owner: member(owner),
+        replicas: Vec::new(),
     };
     View { epoch, ranges: ranges.iter().map(range).collect() }
 }
@@ -29,112 +29,127 @@
 const THREE: &str = "10.1.0.3:7000";
 
 #[test]
-fn the_higher_epoch_wins_slot_by_slot_and_then_the_majority() {
+fn the_highest_epoch_wins_per_slot_and_then_the_majority() {
     let mut table = Table::new(false);
-    let heard = vec![
-        (at(1), view(5, &[(0, 99, ONE), (100, 199, TWO)])),
-        (at(2), view(4, &[(0, 299, THREE)])),
-        (at(3), view(5, &[(0, 49, TWO), (50, 99, ONE)])),
-        (at(4), view(5, &[(0, 49, TWO)])),
+    let views = vec![
+        (address_of(1), view(5, &[(0, 99, ONE), (100, 199, TWO)])),
+        (address_of(2), view(4, &[(0, 299, THREE)])),
+        (address_of(3), view(5, &[(0, 49, TWO), (50, 99, ONE)])),
+        (address_of(4), view(5, &[(0, 49, TWO)])),
     ];
-    let merged = table.merge(heard, 0, &listed);
+    let merged = table.merge(views, 0, &lookup);
     assert_eq!(merged, Merged { epoch: 5, stale: false, uncovered: 16_384 - 300, disputed: 50 });
-    assert_eq!((table.home(0), table.home(60), table.home(150)), (&[2][..], &[1][..], &[2][..]));
-    // Only the older view speaks of these.
-    assert_eq!((table.home(250), table.home(300)), (&[3][..], &[][..]));
-    // A tie: what was held stays, whoever comes first.
-    let heard = vec![(at(1), view(5, &[(0, 0, ONE)])), (at(2), view(5, &[(0, 0, TWO)]))];
-    table.merge(heard, 0, &listed);
-    assert_eq!(table.home(0), [2]);
+    assert_eq!(
+        (table.servers_of(0), table.servers_of(60), table.servers_of(150)),
+        (&[2][..], &[1][..], &[2][..])
+    );
+    // Only the older map mentions these slots.
+    assert_eq!((table.servers_of(250), table.servers_of(300)), (&[3][..], &[][..]));
+    // On a tie the previous owner stays, whichever map comes first.
+    let views = vec![(address_of(1), view(5, &[(0, 0, ONE)])), (address_of(2), view(5, &[(0, 0, TWO)]))];
+    table.merge(views, 0, &lookup);
+    assert_eq!(table.servers_of(0), [2]);
 }
 
 #[test]
-fn an_older_map_does_not_win_unless_the_cluster_began_anew() {
+fn an_older_map_is_discarded_unless_the_cluster_was_recreated() {
     let mut table = Table::new(false);
-    table.merge(vec![(at(1), view(9, &[(0, 16_383, ONE)]))], 0, &listed);
-    for round in 1..BEHIND {
-        assert!(table.merge(vec![(at(2), view(8, &[(0, 16_383, TWO)]))], 0, &listed).stale, "{round}");
-        assert_eq!(table.home(7), [1]);
-        // Nobody answered: that says nothing either way.
-        assert!(table.merge(Vec::new(), 0, &listed).stale);
+    table.merge(vec![(address_of(1), view(9, &[(0, 16_383, ONE)]))], 0, &lookup);
+    for round in 1..CLUSTER_RESET_ROUNDS {
+        assert!(
+            table.merge(vec![(address_of(2), view(8, &[(0, 16_383, TWO)]))], 0, &lookup).stale,
+            "{round}"
+        );
+        assert_eq!(table.servers_of(7), [1]);
+        // A round without answers is no evidence either way.
+        assert!(table.merge(Vec::new(), 0, &lookup).stale);
     }
-    assert!(!table.merge(vec![(at(2), view(1, &[(0, 16_383, TWO)]))], 0, &listed).stale);
-    assert_eq!((table.home(7), table.epoch()), (&[2][..], 1));
+    assert!(!table.merge(vec![(address_of(2), view(1, &[(0, 16_383, TWO)]))], 0, &lookup).stale);
+    assert_eq!((table.servers_of(7), table.epoch()), (&[2][..], 1));
 }
 
 #[test]
-fn a_redirection_that_proved_true_holds_until_a_later_map() {
+fn a_confirmed_redirection_holds_until_a_later_map() {
     let mut table = Table::new(false);
-    table.merge(vec![(at(1), view(1, &[(0, 16_383, ONE)]))], 0, &listed);
-    let before = table.mark();
+    table.merge(vec![(address_of(1), view(1, &[(0, 16_383, ONE)]))], 0, &lookup);
+    let mark = table.redirect_mark();
     assert_eq!(table.moved(7, 2), Some(SlotAssignment { first: 7, last: 7, boxes: vec![2] }));
     assert_eq!(table.moved(7, 2), None);
-    // A round that began before it knows nothing of it; one that began after it does.
-    table.merge(vec![(at(1), view(1, &[(0, 16_383, ONE)]))], before, &listed);
-    assert_eq!((table.home(6), table.home(7)), (&[1][..], &[2][..]));
-    table.relist(&listed);
-    assert_eq!(table.home(7), [2]);
-    table.merge(vec![(at(1), view(1, &[(0, 16_383, ONE)]))], table.mark(), &listed);
-    assert_eq!(table.home(7), [1]);
+    // A round that started before the redirection does not override it; one that started after it does.
+    table.merge(vec![(address_of(1), view(1, &[(0, 16_383, ONE)]))], mark, &lookup);
+    assert_eq!((table.servers_of(6), table.servers_of(7)), (&[1][..], &[2][..]));
+    table.relist(&lookup);
+    assert_eq!(table.servers_of(7), [2]);
+    table.merge(vec![(address_of(1), view(1, &[(0, 16_383, ONE)]))], table.redirect_mark(), &lookup);
+    assert_eq!(table.servers_of(7), [1]);
     assert_eq!(table.moved(SLOTS, 2), None);
 }
 
 #[test]
-fn a_box_counts_from_when_the_list_names_it_under_any_of_its_addresses() {
+fn a_server_is_used_once_the_list_has_any_of_its_addresses() {
     let mut table = Table::new(true);
-    let mut two = seat("192.168.7.2:7000");
-    two.places.push(place(TWO).unwrap());
-    let mut three = seat("pb3.example.org:7000");
-    three.places.push(place(THREE).unwrap());
-    three.alias = Some(("pb3.example.org".into(), [10, 1, 0, 3].into()));
-    let range = |owner: &ClusterMember, copies: &[ClusterMember]| Range {
+    let mut second = member("192.168.7.2:7000");
+    second.endpoints.push(parse_endpoint(TWO).unwrap());
+    let mut third = member("pb3.example.org:7000");
+    third.endpoints.push(parse_endpoint(THREE).unwrap());
+    third.alias = Some(("pb3.example.org".into(), [10, 1, 0, 3].into()));
+    let range = |owner: &ClusterMember, replicas: &[ClusterMember]| Range {
         first: 0,
         last: 9,
         owner: owner.clone(),
-        copies: copies.to_vec(),
+        replicas: replicas.to_vec(),
     };
-    let view = View { epoch: 1, ranges: vec![range(&two, &[three.clone(), two.clone(), seat("9.9.9.9:1")])] };
-    let without_two = |a: SocketAddr| listed(a).filter(|id| *id != 2);
-    let merged = table.merge(vec![(at(1), view)], 0, &without_two);
-    assert_eq!((merged.uncovered, table.home(0)), (SLOTS, &[][..]));
-    assert_eq!(table.relist(&listed).uncovered, SLOTS - 10);
-    assert_eq!(table.home(0), [2, 3], "twice, or one that the list lacks");
-    let named = Endpoint { host: Host::Name("pb3.example.org".into()), port: Some(7000) };
-    assert_eq!(table.address(&named, at(1)), Some(at(3)));
+    let view = View {
+        epoch: 1,
+        ranges: vec![range(&second, &[third.clone(), second.clone(), member("9.9.9.9:1")])],
+    };
+    let without_two = |addr: SocketAddr| lookup(addr).filter(|id| *id != 2);
+    let merged = table.merge(vec![(address_of(1), view)], 0, &without_two);
+    assert_eq!((merged.uncovered, table.servers_of(0)), (SLOTS, &[][..]));
+    assert_eq!(table.relist(&lookup).uncovered, SLOTS - 10);
+    assert_eq!(table.servers_of(0), [2, 3], "no duplicates, and no server that is not in the list");
+    let endpoint = Endpoint { host: Host::Name("pb3.example.org".into()), port: Some(7000) };
+    assert_eq!(table.resolve(&endpoint, address_of(1)), Some(address_of(3)));
     assert_eq!(table.ranges(), [SlotAssignment { first: 0, last: 9, boxes: vec![2, 3] }]);
-    // Copies are read only where that is wanted.
-    let mut owners = Table::new(false);
-    owners.merge(table.heard.clone(), 0, &listed);
-    assert_eq!(owners.home(0), [2]);
+    // Replicas are included only if reads from replicas are enabled.
+    let mut owners_only = Table::new(false);
+    owners_only.merge(table.views.clone(), 0, &lookup);
+    assert_eq!(owners_only.servers_of(0), [2]);
 }
 
 #[test]
-fn a_host_that_is_not_named_is_the_one_that_was_asked() {
+fn an_endpoint_without_host_is_the_queried_server() {
     let mut table = Table::new(false);
-    table.merge(vec![(at(4), view(1, &[(0, 0, ":7000"), (1, 1, "")]))], 0, &listed);
-    assert_eq!((table.home(0), table.home(1)), (&[4][..], &[4][..]));
+    table.merge(vec![(address_of(4), view(1, &[(0, 0, ":7000"), (1, 1, "")]))], 0, &lookup);
+    assert_eq!((table.servers_of(0), table.servers_of(1)), (&[4][..], &[4][..]));
 }
 
 #[test]
-fn ranges_give_back_the_table() {
-    let mut dice = oorandom::Rand32::new(3);
+fn ranges_match_the_table() {
+    let mut rng = oorandom::Rand32::new(3);
     for _ in 0..50 {
         let mut table = Table::new(false);
         let mut ranges = Vec::new();
-        for _ in 0..dice.rand_range(1..40) {
-            let first = dice.rand_range(0..u32::from(SLOTS)) as u16;
-            let last = first.saturating_add(dice.rand_range(0..2_000) as u16).min(SLOTS - 1);
-            ranges.push((first, last, [ONE, TWO, THREE][dice.rand_range(0..3) as usize]));
+        for _ in 0..rng.rand_range(1..40) {
+            let first = rng.rand_range(0..u32::from(SLOTS)) as u16;
+            let last = first.saturating_add(rng.rand_range(0..2_000) as u16).min(SLOTS - 1);
+            ranges.push((first, last, [ONE, TWO, THREE][rng.rand_range(0..3) as usize]));
         }
-        let merged = table.merge(vec![(at(1), view(1, &ranges))], 0, &listed);
-        let held = table.ranges();
+        let merged = table.merge(vec![(address_of(1), view(1, &ranges))], 0, &lookup);
+        let assignments = table.ranges();
         for slot in 0..SLOTS {
-            let by: Vec<&SlotAssignment> =
-                held.iter().filter(|h| (h.first..=h.last).contains(&slot)).collect();
-            assert!(by.len() <= 1);
-            assert_eq!(by.first().map_or(&[][..], |h| &h.boxes[..]), table.home(slot));
+            let matching: Vec<&SlotAssignment> = assignments
+                .iter()
+                .filter(|assignment| (assignment.first..=assignment.last).contains(&slot))
+                .collect();
+            assert!(matching.len() <= 1);
+            assert_eq!(
+                matching.first().map_or(&[][..], |assignment| &assignment.boxes[..]),
+                table.servers_of(slot)
+            );
         }
-        let covered: u32 = held.iter().map(|h| u32::from(h.last - h.first) + 1).sum();
+        let covered: u32 =
+            assignments.iter().map(|assignment| u32::from(assignment.last - assignment.first) + 1).sum();
         assert_eq!(covered + u32::from(merged.uncovered), u32::from(SLOTS));
     }
 }
--- a/crates/mothpier-slots/src/tier.rs
+++ b/crates/mothpier-slots/src/tier.rs
@@ -1,257 +1,288 @@
-//! The tier as its nodes see it: which of them run, and which slots each is shown to own. Pure: messages and times go
-//! in, messages and a map come out.
+//! The tier as its nodes see it: which nodes run, and which slots each of them is presented to own. No I/O:
+//! messages and times go in, messages and a slot map come out.
 //!
-//! Every node keeps, of every node, a version and whether it runs. The higher version wins, and at equal versions
-//! "does not run" does, so that nodes that have heard the same, in any order and any number of times, hold the same.
-//! Only a node itself says that it runs, with a version above all that is said of it. That it does not run is said by
-//! the node as it stops, or by any other that has not heard it for [`SILENCE_TIMEOUT_MS`]; a node that hears so of itself
-//! while it runs takes it back with a higher version. The epoch is the sum of all versions: it rises with each change and
-//! is equal where the states are.
+//! Every node keeps a version and a running flag for each node. The higher version wins; at equal versions
+//! "not running" wins. Nodes that have received the same messages, in any order and any number of times,
+//! therefore have the same state. Only a node itself announces that it runs, with a version above every
+//! version known for it. That it does not run is announced by the node itself when it stops, or by any other
+//! node that has not heard from it for [`SILENCE_TIMEOUT_MS`]; a running node that learns that it is taken
+//! for stopped announces a higher version. The epoch is the sum of all versions: it rises with each change
+//! and is equal for equal states.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
 use crate::slot::SLOTS;
 
-/// A node that was not heard for so long does not run, milliseconds.
+/// Time without a message after which a node is taken to have stopped, in milliseconds.
 pub const SILENCE_TIMEOUT_MS: u64 = 3_000;
-/// Between two tellings, milliseconds: several are lost in a row before a node counts as silent.
+/// Interval between announcements, in milliseconds: several in a row must be lost before a node counts as
+/// silent.
 pub const ANNOUNCE_INTERVAL_MS: u64 = 400;
-/// Nodes in a tier at the most.
+/// Maximum number of nodes in a tier.
 pub const MAX_NODES: usize = 1_024;
-/// How a message begins. The decision module's messages begin with two small figures, which this can't be.
+/// The magic bytes at the start of a message. The policy's messages start with two small numbers, so the two
+/// kinds can't be confused.
 const MAGIC: [u8; 4] = *b"MPT1";
-/// Bytes of one node in a message: its number, its version, whether it runs.
-const ENTRY: usize = 2 + 8 + 1;
-/// The longest message.
-const MOST_BYTES: usize = 256;
-/// A down node's slots go to so many others at the most.
-const HEIRS: usize = 4;
+/// Size of the entry of one node in a message, in bytes: its number, its version, and whether it runs.
+const ENTRY_BYTES: usize = 2 + 8 + 1;
+/// Maximum size of a message.
+const MAX_MESSAGE_BYTES: usize = 256;
+/// Maximum number of nodes among which the slots of a stopped node are divided.
+const MAX_SUCCESSORS: usize = 4;
 
-/// What is known of a node.
+/// The known state of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct State {
+struct NodeState {
     version: u64,
     up: bool,
 }
 
-/// A tier of nodes, as one of them sees it.
+/// The state of the tier as seen by one node.
 #[derive(Clone, Debug)]
 pub struct Tier {
     nodes: Vec<SocketAddr>,
-    me: usize,
-    states: Vec<State>,
-    heard_ms: Vec<u64>,
-    /// Whether nodes tell each other; without, all of them count as running.
-    telling: bool,
+    own_index: usize,
+    states: Vec<NodeState>,
+    last_heard_ms: Vec<u64>,
+    /// Whether nodes announce themselves to each other; otherwise all of them count as running.
+    announcing: bool,
     stopping: bool,
-    told_ms: Option<u64>,
-    /// Where the next message's window over the others begins.
-    window: usize,
+    last_announced_ms: Option<u64>,
+    /// Where the selection of other nodes in the next message starts.
+    window_start: usize,
 }
 
-/// Why a tier can't be.
+/// Why a list of nodes is not a valid tier.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadTier {
-    /// It has no nodes, or more than [`MAX_NODES`].
+pub enum TierError {
+    /// The list is empty or has more than [`MAX_NODES`] nodes.
     Size(usize),
-    /// This node's number is not among them.
-    Me(usize),
-    /// An address is named twice.
-    Twice(SocketAddr),
-    /// An address that no client can connect to.
-    NoAddress(SocketAddr),
+    /// The number of this node is out of range.
+    OwnIndex(usize),
+    /// An address is given twice.
+    DuplicateAddress(SocketAddr),
+    /// Clients can't connect to the address.
+    UnusableAddress(SocketAddr),
 }
 
-impl std::fmt::Display for BadTier {
+impl std::fmt::Display for TierError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            BadTier::Size(n) => write!(f, "{n} nodes; a tier has 1 to {MAX_NODES}"),
-            BadTier::Me(me) => {
-                write!(f, "this node is number {me}, counted from 0, and the tier ends before it")
+            TierError::Size(count) => write!(f, "{count} nodes; a tier has 1 to {MAX_NODES}"),
+            TierError::OwnIndex(own_index) => {
+                write!(f, "this node has number {own_index}, counted from 0, but the tier has fewer nodes")
+            }
+            TierError::DuplicateAddress(address) => {
+                write!(f, "{address} is named twice; each node needs an address of its own")
+            }
+            TierError::UnusableAddress(address) => {
+                write!(f, "{address} is no address that clients can connect to")
             }
-            BadTier::Twice(a) => write!(f, "{a} is named twice; each node has an address of its own"),
-            BadTier::NoAddress(a) => write!(f, "{a} is no address that clients can connect to"),
         }
     }
 }
 
-impl std::error::Error for BadTier {}
+impl std::error::Error for TierError {}
 
 impl Tier {
-    /// A tier with the addresses at which clients reach its nodes, by their numbers. `telling` says that the nodes tell
-    /// each other of themselves; `unix_ms` is the start of this one.
+    /// Creates a tier from the client addresses of its nodes, in the order of their numbers. `announcing`
+    /// enables announcements between the nodes; `unix_ms` is the start time of this node.
     ///
     /// # Errors
     ///
-    /// What can't be a tier.
-    pub fn new(nodes: Vec<SocketAddr>, me: usize, telling: bool, unix_ms: u64) -> Result<Self, BadTier> {
+    /// Returns why the list of nodes is not a valid tier.
+    pub fn new(
+        nodes: Vec<SocketAddr>,
+        own_index: usize,
+        announcing: bool,
+        unix_ms: u64,
+    ) -> Result<Self, TierError> {
         if nodes.is_empty() || nodes.len() > MAX_NODES {
-            return Err(BadTier::Size(nodes.len()));
+            return Err(TierError::Size(nodes.len()));
         }
-        if me >= nodes.len() {
-            return Err(BadTier::Me(me));
+        if own_index >= nodes.len() {
+            return Err(TierError::OwnIndex(own_index));
         }
-        for (at, node) in nodes.iter().enumerate() {
+        for (index, node) in nodes.iter().enumerate() {
             if node.port() == 0 || node.ip().is_unspecified() {
-                return Err(BadTier::NoAddress(*node));
+                return Err(TierError::UnusableAddress(*node));
             }
-            if nodes[..at].contains(node) {
-                return Err(BadTier::Twice(*node));
+            if nodes[..index].contains(node) {
+                return Err(TierError::DuplicateAddress(*node));
             }
         }
-        let mut states = vec![State { version: 0, up: true }; nodes.len()];
-        if telling {
-            // Above all that is said of an earlier life, which began before.
-            states[me].version = unix_ms.max(1);
+        let mut states = vec![NodeState { version: 0, up: true }; nodes.len()];
+        if announcing {
+            // The start time is above every version known for an earlier process of this node, as that
+            // started before.
+            states[own_index].version = unix_ms.max(1);
         }
-        let heard_ms = vec![unix_ms; nodes.len()];
-        Ok(Tier { nodes, me, states, heard_ms, telling, stopping: false, told_ms: None, window: 0 })
+        let last_heard_ms = vec![unix_ms; nodes.len()];
+        Ok(Tier {
+            nodes,
+            own_index,
+            states,
+            last_heard_ms,
+            announcing,
+            stopping: false,
+            last_announced_ms: None,
+            window_start: 0,
+        })
     }
 
-    /// How many nodes there are, running or not.
+    /// Returns the number of nodes, running or not.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Never: a tier has nodes.
+    /// Always returns `false`: a tier has at least one node.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// This node's number.
-    pub fn me(&self) -> usize {
-        self.me
+    /// Returns the number of this node.
+    pub fn own_index(&self) -> usize {
+        self.own_index
     }
 
-    /// Where clients reach a node.
+    /// Returns the address at which clients reach a node.
     pub fn address(&self, node: usize) -> SocketAddr {
         self.nodes[node]
     }
 
-    /// A node's id: 40 hexadecimal digits, the same at every node and in every life.
+    /// Returns the id of a node: 40 hexadecimal digits, the same at every node and after a restart.
     pub fn id(&self, node: usize) -> String {
         format!("{:08x}{:032x}", 0x6d6f_7468u32, node)
     }
 
-    /// Whether a node is held to run.
+    /// Returns whether a node is considered to be running.
     pub fn up(&self, node: usize) -> bool {
         self.states[node].up
     }
 
-    /// Rises with every change; equal where the states are.
+    /// Returns the epoch: it rises with every change and is equal for equal states.
     pub fn epoch(&self) -> u64 {
-        self.states.iter().map(|s| s.version).sum()
+        self.states.iter().map(|state| state.version).sum()
     }
 
-    /// This node stops: its slots go to others at once.
+    /// Marks this node as stopping: its slots go to other nodes at once.
     pub fn stop(&mut self) {
         self.stopping = true;
-        self.states[self.me] = State { version: self.states[self.me].version + 1, up: false };
-        self.told_ms = None;
+        self.states[self.own_index] =
+            NodeState { version: self.states[self.own_index].version + 1, up: false };
+        self.last_announced_ms = None;
     }
 
-    /// Looks for nodes that have fallen silent, and gives what is to be told to all, when it is time.
+    /// Marks silent nodes as stopped, and returns the message to send to all other nodes when it is due.
     pub fn tick(&mut self, unix_ms: u64) -> Option<Vec<u8>> {
-        if !self.telling {
+        if !self.announcing {
             return None;
         }
         for node in 0..self.nodes.len() {
             let state = &mut self.states[node];
-            if node != self.me && state.up && unix_ms.saturating_sub(self.heard_ms[node]) > SILENCE_TIMEOUT_MS
+            if node != self.own_index
+                && state.up
+                && unix_ms.saturating_sub(self.last_heard_ms[node]) > SILENCE_TIMEOUT_MS
             {
-                *state = State { version: state.version + 1, up: false };
-                // News is told at once.
-                self.told_ms = None;
+                *state = NodeState { version: state.version + 1, up: false };
+                // A change is announced at once.
+                self.last_announced_ms = None;
             }
         }
-        if self.told_ms.is_some_and(|told| unix_ms < told + ANNOUNCE_INTERVAL_MS) {
+        if self.last_announced_ms.is_some_and(|last| unix_ms < last + ANNOUNCE_INTERVAL_MS) {
             return None;
         }
-        self.told_ms = Some(unix_ms);
+        self.last_announced_ms = Some(unix_ms);
         let mut message = MAGIC.to_vec();
-        self.put(self.me, &mut message);
+        self.append_entry(self.own_index, &mut message);
         let others = self.nodes.len() - 1;
-        let room = ((MOST_BYTES - message.len()) / ENTRY).min(others);
-        for step in 0..room {
-            let node = (self.me + 1 + (self.window + step) % others.max(1)) % self.nodes.len();
-            self.put(node, &mut message);
+        let entry_count = ((MAX_MESSAGE_BYTES - message.len()) / ENTRY_BYTES).min(others);
+        for step in 0..entry_count {
+            let node = (self.own_index + 1 + (self.window_start + step) % others.max(1)) % self.nodes.len();
+            self.append_entry(node, &mut message);
         }
-        self.window = (self.window + room) % others.max(1);
+        self.window_start = (self.window_start + entry_count) % others.max(1);
         Some(message)
     }
 
-    fn put(&self, node: usize, message: &mut Vec<u8>) {
-        let State { version, up } = self.states[node];
+    fn append_entry(&self, node: usize, message: &mut Vec<u8>) {
+        let NodeState { version, up } = self.states[node];
         message.extend((node as u16).to_le_bytes());
         message.extend(version.to_le_bytes());
         message.push(u8::from(up));
     }
 
-    /// Whether a datagram is one of these; all others are the decision module's.
+    /// Returns whether a datagram is a tier message; all others belong to the policy.
     pub fn is_message(bytes: &[u8]) -> bool {
         bytes.starts_with(&MAGIC)
     }
 
-    /// Takes what another node told. What no node would tell is passed over.
+    /// Processes a message from another node. Malformed messages and implausible entries are ignored.
     pub fn heard(&mut self, unix_ms: u64, from: usize, bytes: &[u8]) {
         let Some(entries) = bytes.strip_prefix(&MAGIC) else { return };
-        if from >= self.nodes.len() || from == self.me || !entries.len().is_multiple_of(ENTRY) {
+        if from >= self.nodes.len() || from == self.own_index || !entries.len().is_multiple_of(ENTRY_BYTES) {
             return;
         }
-        self.heard_ms[from] = unix_ms;
-        for entry in entries.chunks_exact(ENTRY) {
+        self.last_heard_ms[from] = unix_ms;
+        for entry in entries.chunks_exact(ENTRY_BYTES) {
             let node = usize::from(u16::from_le_bytes([entry[0], entry[1]]));
             let version = entry[2..10].iter().rev().fold(0u64, |v, b| v << 8 | u64::from(*b));
-            // Versions are times: one far ahead of the clock would make the true ones worthless.
+            // Versions derive from the clock: accepting one more than a day ahead would make the correct ones
+            // ineffective.
             if node >= self.nodes.len() || version > unix_ms + 86_400_000 {
                 continue;
             }
-            let (told, held) = (State { version, up: entry[10] != 0 }, self.states[node]);
-            let newer = (told.version, !told.up) > (held.version, !held.up);
-            if newer && node != self.me {
-                // Heard of as running by another counts as a sign of life only when it is news.
-                if told.up && !held.up {
-                    self.heard_ms[node] = unix_ms;
+            let (received, known) = (NodeState { version, up: entry[10] != 0 }, self.states[node]);
+            let is_newer = (received.version, !received.up) > (known.version, !known.up);
+            if is_newer && node != self.own_index {
+                // A report by a third node that this one runs counts as a sign of life only if it changes the
+                // state.
+                if received.up && !known.up {
+                    self.last_heard_ms[node] = unix_ms;
                 }
-                self.states[node] = told;
-            } else if newer && !self.stopping {
-                self.states[self.me] = State { version: told.version + 1, up: true };
-                self.told_ms = None;
+                self.states[node] = received;
+            } else if is_newer && !self.stopping {
+                self.states[self.own_index] = NodeState { version: received.version + 1, up: true };
+                self.last_announced_ms = None;
             }
         }
     }
 
-    /// Which node is shown as the owner of which slots: ranges in order, without holes or overlaps. Every node has an
-    /// equal part of all slots; what belongs to one that does not run goes, in equal pieces, to the next that do.
+    /// Returns the ranges of slots with the node presented as their owner, in order, without gaps or
+    /// overlaps. Every node has an equal share of the slots; the share of a stopped node is divided equally
+    /// among the next running ones.
     pub fn ranges(&self) -> Vec<(RangeInclusive<u16>, usize)> {
         let count = self.nodes.len();
-        let anyone = (0..count).any(|n| self.up(n));
-        // A tier in which nobody is held to run still has this node to show.
-        let runs = |n: usize| if anyone { self.up(n) } else { n == self.me };
+        let any_running = (0..count).any(|node| self.up(node));
+        // If no node is considered to be running, this node is presented as the owner.
+        let is_running = |node: usize| if any_running { self.up(node) } else { node == self.own_index };
         let mut ranges: Vec<(RangeInclusive<u16>, usize)> = Vec::new();
-        let mut add = |from: usize, to: usize, owner: usize| {
+        let mut push_range = |from: usize, to: usize, owner: usize| {
             if from >= to {
                 return;
             }
             let (from, to) = (from as u16, (to - 1) as u16);
             match ranges.last_mut() {
-                Some((last, of)) if *of == owner => *last = *last.start()..=to,
+                Some((last, last_owner)) if *last_owner == owner => *last = *last.start()..=to,
                 _ => ranges.push((from..=to, owner)),
             }
         };
         for node in 0..count {
-            let part = |n: usize| n * usize::from(SLOTS) / count;
-            let (from, to) = (part(node), part(node + 1));
-            if runs(node) {
-                add(from, to, node);
+            let share_start = |number: usize| number * usize::from(SLOTS) / count;
+            let (from, to) = (share_start(node), share_start(node + 1));
+            if is_running(node) {
+                push_range(from, to, node);
                 continue;
             }
-            let heirs: Vec<usize> =
-                (1..count).map(|step| (node + step) % count).filter(|n| runs(*n)).take(HEIRS).collect();
-            for (at, heir) in heirs.iter().enumerate() {
-                let piece = |n: usize| from + n * (to - from) / heirs.len();
-                add(piece(at), piece(at + 1), *heir);
+            let successors: Vec<usize> = (1..count)
+                .map(|step| (node + step) % count)
+                .filter(|other| is_running(*other))
+                .take(MAX_SUCCESSORS)
+                .collect();
+            for (index, successor) in successors.iter().enumerate() {
+                let piece_start = |number: usize| from + number * (to - from) / successors.len();
+                push_range(piece_start(index), piece_start(index + 1), *successor);
             }
         }
         ranges
