--- a/crates/mothpier-names/src/answer.rs
+++ b/crates/mothpier-names/src/answer.rs
@@ -1,4 +1,4 @@
-//! What an answer means for its question. Pure.
+//! Interprets the answer to a question. No I/O.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -9,87 +9,91 @@
 
 use crate::question::{Kind, Question};
 
-/// Links of a chain of names that are followed, over all answers.
-pub const MOST_LINKS: usize = 8;
-/// Records of one answer; a service of more boxes is refused whole and not read in part.
-pub const MOST_RECORDS: usize = 1024;
+/// Maximum number of CNAME links that are followed for one question, over all its answers.
+pub const MAX_CNAME_LINKS: usize = 8;
+/// Maximum number of records in one answer. An answer with more is rejected whole instead of being read in
+/// part.
+pub const MAX_RECORDS: usize = 1024;
 
-/// What an answer said.
+/// The content of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The boxes of a service, with the lifetime of the set, and the addresses of hosts that came beside.
-    Boxes {
-        /// The records.
+    /// The SRV records of a service, with addresses of their targets from the additional section.
+    Service {
+        /// The SRV records.
         records: Vec<SRV>,
-        /// Seconds.
+        /// The lifetime in seconds.
         ttl: u32,
-        /// Addresses of the records' targets, with their lifetimes.
-        beside: BTreeMap<(Name, Kind), (Vec<IpAddr>, u32)>,
+        /// Addresses of the records' targets, with their lifetimes in seconds.
+        additional: BTreeMap<(Name, Kind), (Vec<IpAddr>, u32)>,
     },
-    /// A host's addresses.
+    /// The addresses of a host.
     Addresses {
         /// The addresses.
         addresses: Vec<IpAddr>,
-        /// Seconds.
+        /// The lifetime in seconds.
         ttl: u32,
     },
-    /// The name stands for another, which this answer does not hold: it is to be asked for.
+    /// The name is an alias of another name, for which this answer has no records: that name must be queried
+    /// next.
     Alias {
-        /// The other.
+        /// The name to query.
         to: Name,
-        /// How many links led there.
+        /// Number of CNAME links that led there.
         links: usize,
-        /// Seconds.
+        /// The lifetime in seconds.
         ttl: u32,
     },
-    /// There is no such name, or nothing of this kind under it; lifetime and minimum of the SOA.
-    Nothing {
-        /// There is no such name at all.
-        no_name: bool,
-        /// RFC 2308, section 5.
+    /// A negative answer: the name does not exist or has no records of this kind.
+    Negative {
+        /// The name does not exist (NXDOMAIN).
+        name_missing: bool,
+        /// The TTL and the minimum field of the SOA record, if there is one (RFC 2308, section 5).
         soa: Option<(u32, u32)>,
     },
-    /// It did not fit: to be asked over TCP.
+    /// The answer is truncated; the question must be repeated over TCP.
     Truncated,
 }
 
-/// Why an answer is of no use; another server may do better.
+/// Why an answer can't be used. Another server may give a better one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unreadable {
-    /// The server says so: SERVFAIL, REFUSED and the like, by number.
+pub enum AnswerError {
+    /// The server returned an error code such as SERVFAIL or REFUSED.
     Code(u16),
-    /// The server does not understand the question with its extension (RFC 6891, section 7).
-    NoEdns,
-    /// A chain of names that is longer than [`MOST_LINKS`], or that comes back to itself.
-    Chain,
-    /// More than [`MOST_RECORDS`] records.
-    TooMany(usize),
-    /// No message at all.
-    Garbled,
+    /// The server does not support EDNS (RFC 6891, section 7).
+    EdnsUnsupported,
+    /// A chain of CNAME records that is longer than [`MAX_CNAME_LINKS`] or that forms a loop.
+    CnameChain,
+    /// The answer has more than [`MAX_RECORDS`] records.
+    TooManyRecords(usize),
+    /// Not a DNS message, or not the answer to the question.
+    Malformed,
 }
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for AnswerError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unreadable::Code(code) => write!(f, "{}", <ResponseCode as From<u16>>::from(*code)),
-            Unreadable::NoEdns => f.write_str("the server knows no EDNS"),
-            Unreadable::Chain => {
-                write!(f, "a chain of more than {MOST_LINKS} names, or one that is a circle")
+            AnswerError::Code(code) => write!(f, "{}", <ResponseCode as From<u16>>::from(*code)),
+            AnswerError::EdnsUnsupported => f.write_str("the server does not support EDNS"),
+            AnswerError::CnameChain => {
+                write!(f, "a chain of more than {MAX_CNAME_LINKS} aliases, or a loop")
             }
-            Unreadable::TooMany(n) => write!(f, "{n} records; {MOST_RECORDS} are taken at the most"),
-            Unreadable::Garbled => f.write_str("no DNS message"),
+            AnswerError::TooManyRecords(count) => {
+                write!(f, "{count} records, more than the limit of {MAX_RECORDS}")
+            }
+            AnswerError::Malformed => f.write_str("not a DNS message"),
         }
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for AnswerError {}
 
-/// Reads an answer to a question.
+/// Interprets the answer to a question.
 ///
 /// # Errors
 ///
-/// An answer that is of no use.
-pub fn read(question: &Question, message: &Message) -> Result<Reply, Unreadable> {
+/// Returns why the answer can't be used.
+pub fn interpret(question: &Question, message: &Message) -> Result<Reply, AnswerError> {
     if message.metadata.truncation {
         return Ok(Reply::Truncated);
     }
@@ -99,19 +103,19 @@
     });
     match message.metadata.response_code {
         ResponseCode::NoError => {}
-        ResponseCode::NXDomain => return Ok(Reply::Nothing { no_name: true, soa }),
-        ResponseCode::FormErr | ResponseCode::BADVERS => return Err(Unreadable::NoEdns),
-        other => return Err(Unreadable::Code(other.into())),
+        ResponseCode::NXDomain => return Ok(Reply::Negative { name_missing: true, soa }),
+        ResponseCode::FormErr | ResponseCode::BADVERS => return Err(AnswerError::EdnsUnsupported),
+        other => return Err(AnswerError::Code(other.into())),
     }
     let records = message.answers.len() + message.additionals.len();
-    if records > MOST_RECORDS {
-        return Err(Unreadable::TooMany(records));
+    if records > MAX_RECORDS {
+        return Err(AnswerError::TooManyRecords(records));
     }
-    let (name, links, chain_ttl) = follow(&question.name, &message.answers)?;
-    let here = || message.answers.iter().filter(|r| r.name == name);
+    let (name, links, chain_ttl) = follow_aliases(&question.name, &message.answers)?;
+    let matching_records = || message.answers.iter().filter(|r| r.name == name);
     match question.kind {
         Kind::Srv => {
-            let found: Vec<(&Record, &SRV)> = here()
+            let found: Vec<(&Record, &SRV)> = matching_records()
                 .filter_map(|r| match &r.data {
                     RData::SRV(srv) => Some((r, srv)),
                     _ => None,
@@ -119,28 +123,31 @@
                 .collect();
             if let Some(ttl) = found.iter().map(|(r, _)| r.ttl).min() {
                 let records: Vec<SRV> = found.into_iter().map(|(_, srv)| srv.clone()).collect();
-                let beside = beside(&records, &message.additionals);
-                return Ok(Reply::Boxes { records, ttl: ttl.min(chain_ttl), beside });
+                let additional = addresses_in_additionals(&records, &message.additionals);
+                return Ok(Reply::Service { records, ttl: ttl.min(chain_ttl), additional });
             }
         }
         Kind::A | Kind::Aaaa => {
-            let found: Vec<(u32, IpAddr)> = here().filter_map(|r| Some((r.ttl, address(r)?.1))).collect();
+            let found: Vec<(u32, IpAddr)> =
+                matching_records().filter_map(|r| Some((r.ttl, address(r)?.1))).collect();
             if let Some(ttl) = found.iter().map(|(ttl, _)| *ttl).min() {
-                let addresses = found.into_iter().map(|(_, a)| a).collect();
+                let addresses = found.into_iter().map(|(_, address)| address).collect();
                 return Ok(Reply::Addresses { addresses, ttl: ttl.min(chain_ttl) });
             }
         }
     }
     Ok(match links {
-        0 => Reply::Nothing { no_name: false, soa },
-        // RFC 2308, section 2.2: with an SOA the end of the chain has nothing; without, the server knows no further.
-        _ if soa.is_some() => Reply::Nothing { no_name: false, soa },
+        0 => Reply::Negative { name_missing: false, soa },
+        // RFC 2308, section 2.2: with an SOA record the end of the chain has no such records; without one the
+        // server does not know the rest of the chain.
+        _ if soa.is_some() => Reply::Negative { name_missing: false, soa },
         links => Reply::Alias { to: name, links, ttl: chain_ttl },
     })
 }
 
-/// Follows aliases from a name as far as these records lead: the last name, the links, and their least lifetime.
-fn follow(from: &Name, records: &[Record]) -> Result<(Name, usize, u32), Unreadable> {
+/// Follows CNAME records from a name as far as these records lead. Returns the last name, the number of
+/// links, and their lowest TTL.
+fn follow_aliases(from: &Name, records: &[Record]) -> Result<(Name, usize, u32), AnswerError> {
     let aliases: BTreeMap<&Name, (&Name, u32)> = records
         .iter()
         .filter_map(|r| match &r.data {
@@ -149,27 +156,31 @@
         })
         .collect();
     let (mut name, mut links, mut ttl) = (from, 0, u32::MAX >> 1);
-    while let Some((to, its)) = aliases.get(name) {
+    while let Some((to, link_ttl)) = aliases.get(name) {
         links += 1;
-        if links > MOST_LINKS {
-            return Err(Unreadable::Chain);
+        if links > MAX_CNAME_LINKS {
+            return Err(AnswerError::CnameChain);
         }
-        (name, ttl) = (to, ttl.min(*its));
+        (name, ttl) = (to, ttl.min(*link_ttl));
     }
     Ok((name.clone(), links, ttl))
 }
 
-/// Addresses beside the answer count only for hosts that the answer itself names.
-fn beside(records: &[SRV], additionals: &[Record]) -> BTreeMap<(Name, Kind), (Vec<IpAddr>, u32)> {
-    let mut beside: BTreeMap<(Name, Kind), (Vec<IpAddr>, u32)> = BTreeMap::new();
+/// Collects the addresses in the additional section. Only those of hosts that the answer itself names are
+/// accepted.
+fn addresses_in_additionals(
+    records: &[SRV],
+    additionals: &[Record],
+) -> BTreeMap<(Name, Kind), (Vec<IpAddr>, u32)> {
+    let mut additional: BTreeMap<(Name, Kind), (Vec<IpAddr>, u32)> = BTreeMap::new();
     for r in additionals.iter().filter(|r| records.iter().any(|srv| srv.target == r.name)) {
-        if let Some((kind, at)) = address(r) {
-            let entry = beside.entry((r.name.clone(), kind)).or_insert((Vec::new(), r.ttl));
-            entry.0.push(at);
+        if let Some((kind, ip)) = address(r) {
+            let entry = additional.entry((r.name.clone(), kind)).or_insert((Vec::new(), r.ttl));
+            entry.0.push(ip);
             entry.1 = entry.1.min(r.ttl);
         }
     }
-    beside
+    additional
 }
 
 fn address(record: &Record) -> Option<(Kind, IpAddr)> {
--- a/crates/mothpier-names/src/budget.rs
+++ b/crates/mothpier-names/src/budget.rs
@@ -1,40 +1,40 @@
-//! Asks that a node may make: a bucket that fills evenly.
+//! Limits the rate of queries of one node with a token bucket.
 
-/// A bucket of tokens.
+/// A token bucket.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     per_ms: f64,
     burst: f64,
     tokens: f64,
-    at: u64,
+    updated_at: u64,
 }
 
-impl Bucket {
-    /// A full bucket that fills by so many tokens a second, up to a burst of at least one.
+impl TokenBucket {
+    /// Creates a full bucket that refills at `per_s` tokens per second and holds up to `burst`, at least one.
     pub fn new(per_s: f64, burst: f64, now: u64) -> Self {
         let burst = burst.max(1.0);
-        Bucket { per_ms: per_s.max(0.0) / 1000.0, burst, tokens: burst, at: now }
+        TokenBucket { per_ms: per_s.max(0.0) / 1000.0, burst, tokens: burst, updated_at: now }
     }
 
-    fn fill(&mut self, now: u64) {
-        let passed = now.saturating_sub(self.at);
-        self.tokens = (self.tokens + passed as f64 * self.per_ms).min(self.burst);
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: u64) {
+        let elapsed = now.saturating_sub(self.updated_at);
+        self.tokens = (self.tokens + elapsed as f64 * self.per_ms).min(self.burst);
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Takes a token, if there is one.
+    /// Takes a token. Returns whether there was one.
     pub fn take(&mut self, now: u64) -> bool {
-        self.fill(now);
-        let there = self.tokens >= 1.0;
-        if there {
+        self.refill(now);
+        let available = self.tokens >= 1.0;
+        if available {
             self.tokens -= 1.0;
         }
-        there
+        available
     }
 
-    /// When the next token is there.
+    /// Returns when the next token is available.
     pub fn due(&mut self, now: u64) -> u64 {
-        self.fill(now);
+        self.refill(now);
         if self.tokens >= 1.0 {
             return now;
         }
--- a/crates/mothpier-names/src/lifetime.rs
+++ b/crates/mothpier-names/src/lifetime.rs
@@ -1,18 +1,19 @@
-//! How long an answer counts, and when it is asked for again.
+//! Computes how long answers are valid and when they are refreshed.
 
-/// The highest bit of a lifetime: one that has it counts as 0 (RFC 2181, section 8).
+/// The highest bit of a TTL: a TTL that has it set is treated as 0 (RFC 2181, section 8).
 const HIGHEST_BIT: u32 = 1 << 31;
 
-/// Bounds of lifetimes, milliseconds.
+/// Bounds of the lifetimes of answers, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifetimes {
-    /// No answer counts for less: records with a lifetime of 0 must not be asked for without end.
+    /// Minimum lifetime, so that records with a TTL of 0 do not cause queries without pause.
     pub floor: u64,
-    /// No answer counts for longer: a record with a wrong lifetime must be forgotten some day.
+    /// Maximum lifetime, so that a record with a wrong TTL is replaced eventually.
     pub ceiling: u64,
-    /// A negative answer counts for no longer (RFC 2308, section 5, has one to three hours as a sensible bound).
+    /// Maximum lifetime of a negative answer (RFC 2308, section 5, calls one to three hours a sensible
+    /// bound).
     pub negative_ceiling: u64,
-    /// An answer that has run out is used for so long while no new one is to be had (RFC 8767, section 5).
+    /// How long an expired answer is still used while no new one can be obtained (RFC 8767, section 5).
     pub stale: u64,
 }
 
@@ -23,23 +24,24 @@
 }
 
 impl Lifetimes {
-    /// How long an answer with this lifetime (seconds, as it came) counts.
-    pub fn of(&self, seconds: u32) -> u64 {
+    /// Returns the lifetime of an answer with a TTL in seconds.
+    pub fn answer_lifetime(&self, seconds: u32) -> u64 {
         let seconds = if seconds & HIGHEST_BIT != 0 { 0 } else { seconds };
         (u64::from(seconds) * 1000).clamp(self.floor, self.ceiling)
     }
 
-    /// How long a negative answer counts: the lesser of its SOA's own lifetime and minimum (RFC 2308, section 5); the
-    /// floor where it has none.
-    pub fn of_nothing(&self, soa: Option<(u32, u32)>) -> u64 {
+    /// Returns the lifetime of a negative answer: the lesser of the TTL and the minimum field of its SOA
+    /// record (RFC 2308, section 5), or the floor if there is no SOA record.
+    pub fn negative_lifetime(&self, soa: Option<(u32, u32)>) -> u64 {
         let seconds = soa.map_or(0, |(ttl, minimum)| ttl.min(minimum));
-        self.of(seconds).min(self.negative_ceiling.max(self.floor))
+        self.answer_lifetime(seconds).min(self.negative_ceiling.max(self.floor))
     }
 
-    /// When an answer that came now and counts for `span` is asked for again: between seven and nine tenths of it, drawn
-    /// anew each time, so that nodes which began together do not go on asking together.
-    pub fn refresh(&self, now: u64, span: u64, chance: f64) -> u64 {
-        now + (span as f64 * (0.7 + 0.2 * chance.clamp(0.0, 1.0))).round() as u64
+    /// Returns when an answer that was received at `now` is refreshed: after 70 to 90 % of its lifetime,
+    /// chosen by `random` (0 to 1), so that nodes that started together do not keep sending their queries
+    /// together.
+    pub fn refresh_at(&self, now: u64, lifetime: u64, random: f64) -> u64 {
+        now + (lifetime as f64 * (0.7 + 0.2 * random.clamp(0.0, 1.0))).round() as u64
     }
 }
 
--- a/crates/mothpier-names/src/question.rs
+++ b/crates/mothpier-names/src/question.rs
@@ -1,25 +1,26 @@
-//! A question as it goes out, and whether something that came is the answer to it.
+//! Encodes questions and matches answers to them.
 
 use hickory_proto::op::{Edns, Message, MessageType, OpCode, Query};
 use hickory_proto::rr::{DNSClass, Name, RecordType};
 
-/// What a datagram may hold on its way here: no fragments on any usual network (the DNS flag day of 2020).
-pub const PAYLOAD: u16 = 1232;
+/// Maximum payload of a datagram that the server may send: not fragmented on any common network (DNS flag day
+/// 2020).
+pub const MAX_UDP_PAYLOAD: u16 = 1232;
 
-/// What is asked for.
+/// The kind of records that is queried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// The boxes of a service.
+    /// The servers of a service.
     Srv,
-    /// A host's addresses of version 4.
+    /// The IPv4 addresses of a host.
     A,
-    /// And of version 6.
+    /// The IPv6 addresses of a host.
     Aaaa,
 }
 
 impl Kind {
-    /// Its record type.
-    pub fn record(self) -> RecordType {
+    /// Returns the record type.
+    pub fn record_type(self) -> RecordType {
         match self {
             Kind::Srv => RecordType::SRV,
             Kind::A => RecordType::A,
@@ -28,10 +29,11 @@
     }
 }
 
-/// One question.
+/// A question.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
-    /// Drawn for each asking: who can't see the question can't know it (RFC 5452, section 9.2).
+    /// A random id for each query, so that a sender who can't see the query can't guess it (RFC 5452, section
+    /// 9.2).
     pub id: u16,
     /// The name.
     pub name: Name,
@@ -39,37 +41,38 @@
     pub kind: Kind,
 }
 
-/// What something that came is to a question.
+/// How a received message relates to a question.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Match {
-    /// Another's answer, or forged: waiting goes on.
+    /// Not an answer to this question, or a forged one: the caller keeps waiting.
     Not,
-    /// It bears the id and can't be read.
+    /// The id matches but the message can't be parsed.
     Broken,
     /// The answer.
     Answer(Box<Message>),
 }
 
 impl Question {
-    /// The message that asks. `edns` says how long an answer may be (RFC 6891); servers of old refuse it.
+    /// Returns the encoded query. `edns` adds the maximum payload size (RFC 6891), which some old servers
+    /// reject.
     ///
     /// # Errors
     ///
-    /// A name that no message can hold.
+    /// Fails for a name that does not fit in a message.
     pub fn bytes(&self, edns: bool) -> Result<Vec<u8>, String> {
         let mut message = Message::new(self.id, MessageType::Query, OpCode::Query);
         message.metadata.recursion_desired = true;
-        message.add_query(Query::query(self.name.clone(), self.kind.record()));
+        message.add_query(Query::query(self.name.clone(), self.kind.record_type()));
         if edns {
             let mut extension = Edns::new();
-            extension.set_max_payload(PAYLOAD).set_version(0);
+            extension.set_max_payload(MAX_UDP_PAYLOAD).set_version(0);
             message.set_edns(extension);
         }
         message.to_vec().map_err(|e| e.to_string())
     }
 
-    /// Whether bytes that came from the server that was asked are the answer: id, direction and question must be the
-    /// same (RFC 5452, section 9.1).
+    /// Checks whether bytes received from the queried server are the answer: the id, the direction and the
+    /// question must match (RFC 5452, section 9.1).
     pub fn matches(&self, bytes: &[u8]) -> Match {
         let (Some(id), Some(flags)) = (bytes.get(..2), bytes.get(2)) else { return Match::Not };
         let is_answer = flags & 0x80 != 0;
@@ -77,16 +80,18 @@
             return Match::Not;
         }
         let Ok(message) = Message::from_vec(bytes) else { return Match::Broken };
-        let same = |q: &Query| {
-            q.name == self.name && q.query_type == self.kind.record() && q.query_class == DNSClass::IN
+        let is_same_question = |query: &Query| {
+            query.name == self.name
+                && query.query_type == self.kind.record_type()
+                && query.query_class == DNSClass::IN
         };
-        let of_this = match &message.queries[..] {
-            [query] => same(query),
-            // A server that could not read the question may leave it out.
+        let question_matches = match &message.queries[..] {
+            [query] => is_same_question(query),
+            // A server that could not parse the question may leave it out.
             [] => u16::from(message.metadata.response_code) != 0,
             _ => false,
         };
-        if message.metadata.op_code == OpCode::Query && of_this {
+        if message.metadata.op_code == OpCode::Query && question_matches {
             Match::Answer(Box::new(message))
         } else {
             Match::Not
--- a/crates/mothpier-names/src/resolver.rs
+++ b/crates/mothpier-names/src/resolver.rs
@@ -1,8 +1,10 @@
-//! The resolver's state: what is held of the service and of each of its hosts, what is asked for, and what comes next.
+//! The resolver: the cached records of the service and of each of its hosts, the queries in progress, and
+//! what is due next.
 //!
-//! One asking at a time for a name and kind. A failed asking goes to the next server at once, within the budget; when all
-//! have failed, the name rests for a while that doubles, and what is held goes on being used until it is too old. A server that
-//! says nothing rests, too; while none answers, one question at a time is asked of those that have rested.
+//! There is one query at a time for each name and kind. A failed query is repeated with the next server at
+//! once, within the query budget. When all servers have failed, the name backs off for a time that doubles,
+//! and the cached records stay in use until they are too old. A server that does not answer backs off as
+//! well; while none answers, one query at a time goes to those whose back-off is over.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -15,102 +17,107 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::answer::{self, MOST_LINKS, Reply, Unreadable};
-use crate::budget::Bucket;
+use crate::answer::{self, AnswerError, MAX_CNAME_LINKS, Reply};
+use crate::budget::TokenBucket;
 use crate::lifetime::Lifetimes;
 use crate::question::{Kind, Match, Question};
 use crate::servers::Servers;
 
-/// The first rest of a name that nobody answers for, and the longest, milliseconds. RFC 8767, section 5, has 30 s as
-/// the least time between attempts while stale data is used; here boxes come and go faster.
-const REST: (u64, u64) = (1_000, 30_000);
-/// Servers of one resolver.
-const MOST_SERVERS: usize = 8;
-/// Nodes that begin together spread their first asking over so much for each of them, milliseconds, and this at most.
-const SPREAD: (u64, u64) = (25, 2_000);
-/// Askings that are out at one time: each holds a descriptor of the caller's.
+/// Minimum back-off of a name that no server answers for. RFC 8767, section 5, recommends at least 30 s
+/// between attempts while stale data is used; servers come and go faster here.
+const MIN_BACKOFF_MS: u64 = 1_000;
+/// Maximum back-off of a name that no server answers for.
+const MAX_BACKOFF_MS: u64 = 30_000;
+/// Maximum number of DNS servers of one resolver.
+const MAX_SERVERS: usize = 8;
+/// Nodes that start together spread their first queries over this time for each node of the tier.
+const STARTUP_SPREAD_PER_NODE_MS: u64 = 25;
+/// Maximum time over which the first queries are spread.
+const MAX_STARTUP_SPREAD_MS: u64 = 2_000;
+/// Maximum number of outstanding queries; each holds one of the caller's file descriptors.
 pub const MAX_OUTSTANDING: usize = 8;
-/// An asking whose caller has said nothing so long after its wait has failed, milliseconds.
-const LOST: u64 = 500;
+/// A query whose result the caller has not reported this long after its timeout counts as failed.
+const LOST_QUERY_GRACE_MS: u64 = 500;
 
-/// How a resolver works.
+/// The settings of a resolver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The service's name, as `_profile._tcp.example.org`.
+    /// The name of the service, such as `_profile._tcp.example.org`.
     pub service: Name,
-    /// Who is asked.
+    /// The addresses of the DNS servers.
     pub servers: Vec<SocketAddr>,
-    /// Nodes of the tier, which share the budget.
+    /// Number of nodes in the tier, which share the query budget.
     pub nodes: usize,
-    /// Askings a second of the whole tier.
+    /// Maximum rate of queries per second of the whole tier.
     pub tier_per_s: f64,
-    /// Askings of one node at once.
+    /// Maximum number of queries that one node may send at once.
     pub burst: f64,
-    /// Bounds of lifetimes.
+    /// Bounds of the lifetimes of answers.
     pub lifetimes: Lifetimes,
-    /// An answer that has not come after so long will not come, milliseconds.
+    /// Timeout of a query, in milliseconds.
     pub wait: u64,
-    /// Addresses of version 6 are asked for, too.
+    /// Whether IPv6 addresses are queried as well.
     pub ipv6: bool,
-    /// Only addresses in one of these networks are taken; all where there is none.
+    /// Networks in which servers may be; all if empty.
     pub networks: Vec<IpNet>,
 }
 
-/// Settings that no resolver can work with.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq)]
-pub enum BadSettings {
-    /// No server, or too many.
+pub enum SettingsError {
+    /// There is no DNS server, or there are too many.
     Servers(usize),
-    /// A server that can't be asked.
+    /// A DNS server has an address that can't be queried.
     Server(SocketAddr),
-    /// The name is the root.
+    /// The service name is the root name.
     Service,
 }
 
-impl fmt::Display for BadSettings {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadSettings::Servers(n) => write!(f, "{n} servers; name 1 to {MOST_SERVERS}"),
-            BadSettings::Server(at) => write!(f, "{at} is no address that can be asked"),
-            BadSettings::Service => f.write_str("the service has no name"),
+            SettingsError::Servers(count) => write!(f, "{count} servers; name 1 to {MAX_SERVERS}"),
+            SettingsError::Server(address) => write!(f, "{address} is no address that can be asked"),
+            SettingsError::Service => f.write_str("the service has no name"),
         }
     }
 }
 
-impl std::error::Error for BadSettings {}
+impl std::error::Error for SettingsError {}
 
-/// How something is asked.
+/// The transport of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// One datagram each way, from a port of its own.
+    /// One datagram each way, from a source port of its own.
     Udp,
-    /// A connection; two bytes of length before each message.
+    /// A TCP connection, with a length of two bytes before each message.
     Tcp,
 }
 
-/// Something to be asked now. The caller says once how it ended: [`Resolver::heard`] or [`Resolver::failed`].
+/// A query to send now. The caller reports its result exactly once, by [`Resolver::heard`] or
+/// [`Resolver::failed`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
-    /// Names it.
+    /// Identifies the query when its result is reported.
     pub ticket: u64,
-    /// Whom.
+    /// The DNS server to query.
     pub server: SocketAddr,
-    /// How.
+    /// The transport to use.
     pub transport: Transport,
-    /// What; [`Question::matches`] tells its answer from others.
+    /// The question; [`Question::matches`] recognizes its answer.
     pub question: Question,
-    /// The message.
+    /// The encoded message.
     pub bytes: Vec<u8>,
-    /// How long to wait, milliseconds.
+    /// The timeout, in milliseconds.
     pub wait: u64,
 }
 
-/// Why nothing came.
+/// Why a query had no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No answer within the wait.
+    /// No answer arrived within the timeout.
     TimedOut,
-    /// No way to the server, or the connection ended before the whole answer.
+    /// The server is unreachable, or the connection ended before the whole answer.
     Broken,
 }
 
@@ -123,49 +130,49 @@
     }
 }
 
-/// What is known of the service.
+/// The known state of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceView {
-    /// How far it may be trusted.
+    /// How far the data may be trusted.
     pub word: DnsTrust,
-    /// The boxes, each once, in order.
+    /// The servers, each once, in ascending order of their addresses.
     pub named: Vec<DnsServer>,
-    /// Hosts whose addresses are not known yet: the boxes are not all.
+    /// Number of hosts whose addresses are not known yet: while it is not 0, `named` is incomplete.
     pub pending: usize,
-    /// Counts the answers of the service itself: a change in it is a further look, not the same one again.
+    /// Number of answers for the service itself so far: a higher number means that DNS was consulted again.
     pub answers: u64,
 }
 
-/// Figures since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Askings that went out.
+    /// Queries sent.
     pub asked: u64,
-    /// Of these over TCP.
+    /// Queries sent over TCP, which are included in `asked`.
     pub tcp: u64,
-    /// Answers that were of use.
+    /// Usable answers.
     pub answered: u64,
-    /// Askings without one.
+    /// Queries without a usable answer.
     pub failed: u64,
-    /// Addresses that lie in no network that is allowed.
+    /// Addresses in the current records that are not permitted by the settings.
     pub outside: u64,
 }
 
-type Key = (Name, Kind);
+type QueryKey = (Name, Kind);
 
-enum What {
-    Boxes(Vec<SRV>),
+enum Data {
+    Service(Vec<SRV>),
     Addresses(Vec<IpAddr>),
-    Nothing,
+    Negative,
 }
 
-struct Held {
-    what: What,
-    until: u64,
+struct CacheEntry {
+    data: Data,
+    fresh_until: u64,
     stale_until: u64,
 }
 
-struct Asking {
+struct OutstandingQuery {
     ticket: u64,
     server: usize,
     transport: Transport,
@@ -175,88 +182,89 @@
 }
 
 struct Entry {
-    /// What is asked for: the entry's own name, or where its aliases have led so far.
+    /// The name to query: the entry's own name, or the name that its aliases have led to so far.
     name: Name,
     links: usize,
-    held: Option<Held>,
-    /// When it is asked for.
-    next: u64,
-    /// Rounds in which no server was of use, in a row.
+    cached: Option<CacheEntry>,
+    /// When the name is queried next.
+    due_at: u64,
+    /// Number of consecutive rounds in which no server gave a usable answer.
     failures: u32,
-    /// Servers that failed in this round, and how often one did.
+    /// Servers that failed in this round. `tries` counts the failures.
     tried: Vec<usize>,
     tries: usize,
-    /// The next asking goes over TCP to this server, whose answer did not fit.
-    over_tcp: Option<usize>,
-    asking: Option<Asking>,
+    /// The server to query over TCP next, because its answer was truncated.
+    tcp_server: Option<usize>,
+    outstanding: Option<OutstandingQuery>,
 }
 
 impl Entry {
-    fn new(name: &Name, next: u64) -> Self {
+    fn new(name: &Name, due_at: u64) -> Self {
         Entry {
             name: name.clone(),
             links: 0,
-            held: None,
-            next,
+            cached: None,
+            due_at,
             failures: 0,
             tried: Vec::new(),
             tries: 0,
-            over_tcp: None,
-            asking: None,
+            tcp_server: None,
+            outstanding: None,
         }
     }
 
-    /// A round is over: the next one begins at the entry's own name.
-    fn rest(&mut self, own: &Name, next: u64) {
-        (self.name, self.links, self.next) = (own.clone(), 0, next);
+    /// Ends a round. The next one starts at the entry's own name.
+    fn finish_round(&mut self, own_name: &Name, due_at: u64) {
+        (self.name, self.links, self.due_at) = (own_name.clone(), 0, due_at);
         self.tried.clear();
-        (self.tries, self.over_tcp) = (0, None);
+        (self.tries, self.tcp_server) = (0, None);
     }
 
-    fn usable(&self, now: u64) -> Option<&What> {
-        self.held.as_ref().filter(|h| now < h.stale_until).map(|h| &h.what)
+    fn usable(&self, now: u64) -> Option<&Data> {
+        self.cached.as_ref().filter(|cached| now < cached.stale_until).map(|cached| &cached.data)
     }
 }
 
-/// Asks for one service.
+/// Resolves one service.
 pub struct Resolver {
     settings: Settings,
     rng: StdRng,
-    budget: Bucket,
+    budget: TokenBucket,
     servers: Servers,
-    entries: BTreeMap<Key, Entry>,
-    tickets: BTreeMap<u64, Key>,
+    entries: BTreeMap<QueryKey, Entry>,
+    tickets: BTreeMap<u64, QueryKey>,
     last_ticket: u64,
     answers: u64,
     counts: Counts,
-    /// What failed last, in words.
+    /// A description of the last failure.
     trouble: Option<String>,
 }
 
 impl Resolver {
-    /// A resolver that knows nothing. The seed must be one that nobody can guess: ids of questions are drawn from it.
+    /// Creates a resolver without data. The seed must be unpredictable, because the ids of queries are drawn
+    /// from it.
     ///
     /// # Errors
     ///
-    /// Settings that it can't work with.
-    pub fn new(settings: Settings, seed: [u8; 32], now: u64) -> Result<Self, BadSettings> {
-        if settings.servers.is_empty() || settings.servers.len() > MOST_SERVERS {
-            return Err(BadSettings::Servers(settings.servers.len()));
+    /// Returns why the settings are invalid.
+    pub fn new(settings: Settings, seed: [u8; 32], now: u64) -> Result<Self, SettingsError> {
+        if settings.servers.is_empty() || settings.servers.len() > MAX_SERVERS {
+            return Err(SettingsError::Servers(settings.servers.len()));
         }
-        if let Some(bad) = settings.servers.iter().find(|s| s.port() == 0 || s.ip().is_unspecified()) {
-            return Err(BadSettings::Server(*bad));
+        if let Some(invalid) = settings.servers.iter().find(|s| s.port() == 0 || s.ip().is_unspecified()) {
+            return Err(SettingsError::Server(*invalid));
         }
         if settings.service.is_root() {
-            return Err(BadSettings::Service);
+            return Err(SettingsError::Service);
         }
         let mut rng = StdRng::from_seed(seed);
-        let part = settings.tier_per_s / settings.nodes.max(1) as f64;
-        let budget = Bucket::new(part, settings.burst, now);
+        let node_rate = settings.tier_per_s / settings.nodes.max(1) as f64;
+        let budget = TokenBucket::new(node_rate, settings.burst, now);
         let servers = Servers::new(&settings.servers, rng.random_range(0..settings.servers.len()));
-        let spread = (SPREAD.0 * settings.nodes as u64).min(SPREAD.1);
-        let first = if settings.nodes > 1 { now + rng.random_range(0..=spread) } else { now };
+        let spread = (STARTUP_SPREAD_PER_NODE_MS * settings.nodes as u64).min(MAX_STARTUP_SPREAD_MS);
+        let first_due_at = if settings.nodes > 1 { now + rng.random_range(0..=spread) } else { now };
         let key = (settings.service.clone(), Kind::Srv);
-        let entries = BTreeMap::from([(key, Entry::new(&settings.service, first))]);
+        let entries = BTreeMap::from([(key, Entry::new(&settings.service, first_due_at))]);
         Ok(Resolver {
             settings,
             rng,
@@ -271,47 +279,50 @@
         })
     }
 
-    fn service(&self) -> Key {
+    fn service_key(&self) -> QueryKey {
         (self.settings.service.clone(), Kind::Srv)
     }
 
-    /// What is to be asked now.
+    /// Returns the queries to send now.
     pub fn asks(&mut self, now: u64) -> Vec<Query> {
         let lost: Vec<u64> = self
             .entries
             .values()
-            .filter_map(|e| e.asking.as_ref().filter(|a| a.lost_at <= now).map(|a| a.ticket))
+            .filter_map(|e| {
+                e.outstanding.as_ref().filter(|query| query.lost_at <= now).map(|query| query.ticket)
+            })
             .collect();
         lost.into_iter().for_each(|ticket| self.failed(now, ticket, Failure::TimedOut));
-        // The service before its hosts; of these first what is not known, then what has waited longest.
-        let mut due: Vec<(bool, bool, u64, Key)> = self
+        // The service comes before its hosts; among the hosts, those without usable data come first, then
+        // those that are due the longest.
+        let mut due: Vec<(bool, bool, u64, QueryKey)> = self
             .entries
             .iter()
-            .filter(|(_, e)| e.asking.is_none() && e.next <= now)
-            .map(|(key, e)| (key.1 != Kind::Srv, e.usable(now).is_some(), e.next, key.clone()))
+            .filter(|(_, e)| e.outstanding.is_none() && e.due_at <= now)
+            .map(|(key, e)| (key.1 != Kind::Srv, e.usable(now).is_some(), e.due_at, key.clone()))
             .collect();
         due.sort();
-        let mut asks = Vec::new();
+        let mut queries = Vec::new();
         for (.., key) in due {
-            if self.tickets.len() >= self.most_out()
-                || self.servers.awake_at() > now
+            if self.tickets.len() >= self.max_outstanding()
+                || self.servers.available_at() > now
                 || !self.budget.take(now)
             {
                 break;
             }
-            asks.extend(self.ask(now, key));
+            queries.extend(self.start_query(now, key));
         }
-        asks
+        queries
     }
 
-    /// How many askings may be out.
-    fn most_out(&self) -> usize {
-        if self.servers.any_well() { MAX_OUTSTANDING } else { 1 }
+    /// Returns the maximum number of outstanding queries.
+    fn max_outstanding(&self) -> usize {
+        if self.servers.any_healthy() { MAX_OUTSTANDING } else { 1 }
     }
 
-    fn ask(&mut self, now: u64, key: Key) -> Option<Query> {
+    fn start_query(&mut self, now: u64, key: QueryKey) -> Option<Query> {
         let entry = self.entries.get_mut(&key)?;
-        let (server, transport) = match entry.over_tcp.take() {
+        let (server, transport) = match entry.tcp_server.take() {
             Some(server) => (server, Transport::Tcp),
             None => {
                 let untried = self.servers.choose(now, &entry.tried);
@@ -319,205 +330,220 @@
             }
         };
         let chosen = self.servers.get(server);
-        let (at, edns) = (chosen.at, chosen.edns);
+        let (server_address, edns) = (chosen.address, chosen.edns);
         let question = Question { id: self.rng.random(), name: entry.name.clone(), kind: key.1 };
         let Ok(bytes) = question.bytes(edns) else {
-            // A name that came from an answer fits a message; one of the settings was read as a name.
-            entry.next = now + REST.1;
+            // A name from an answer fits in a message, and the service name was parsed as a name, so this
+            // does not normally happen.
+            entry.due_at = now + MAX_BACKOFF_MS;
             return None;
         };
         self.last_ticket += 1;
         let (ticket, wait) = (self.last_ticket, self.settings.wait);
-        entry.asking = Some(Asking {
+        entry.outstanding = Some(OutstandingQuery {
             ticket,
             server,
             transport,
             edns,
             question: question.clone(),
-            lost_at: now + wait + LOST,
+            lost_at: now + wait + LOST_QUERY_GRACE_MS,
         });
         self.tickets.insert(ticket, key);
         self.counts.asked += 1;
         self.counts.tcp += u64::from(transport == Transport::Tcp);
-        Some(Query { ticket, server: at, transport, question, bytes, wait })
+        Some(Query { ticket, server: server_address, transport, question, bytes, wait })
     }
 
-    /// An answer came, whole. One that is not this question's is for the caller to pass over; given here all the same, it
-    /// counts as none.
+    /// Processes a complete answer. The caller should ignore messages that do not match the question; one
+    /// that is passed in nevertheless counts as a failure.
     pub fn heard(&mut self, now: u64, ticket: u64, bytes: &[u8]) {
-        let Some((key, asking)) = self.take(ticket) else { return };
-        let read = match asking.question.matches(bytes) {
-            Match::Answer(message) => answer::read(&asking.question, &message),
-            Match::Not | Match::Broken => Err(Unreadable::Garbled),
+        let Some((key, outstanding)) = self.end_query(ticket) else { return };
+        let result = match outstanding.question.matches(bytes) {
+            Match::Answer(message) => answer::interpret(&outstanding.question, &message),
+            Match::Not | Match::Broken => Err(AnswerError::Malformed),
         };
-        match read {
-            Ok(Reply::Truncated) if asking.transport == Transport::Udp => {
+        match result {
+            Ok(Reply::Truncated) if outstanding.transport == Transport::Udp => {
                 if let Some(entry) = self.entries.get_mut(&key) {
-                    (entry.over_tcp, entry.next) = (Some(asking.server), now);
+                    (entry.tcp_server, entry.due_at) = (Some(outstanding.server), now);
                 }
             }
-            Ok(Reply::Truncated) => self.useless(now, key, &asking, "cut short over TCP, too".into()),
+            Ok(Reply::Truncated) => {
+                self.retry_or_back_off(now, key, &outstanding, "the answer is truncated over TCP, too".into())
+            }
             Ok(reply) => {
-                self.servers.did_well(asking.server);
+                self.servers.record_success(outstanding.server);
                 self.counts.answered += 1;
-                self.settle(now, key, reply);
+                self.apply_reply(now, key, reply);
             }
-            Err(Unreadable::NoEdns) if asking.edns => {
-                self.servers.plain(asking.server);
+            Err(AnswerError::EdnsUnsupported) if outstanding.edns => {
+                self.servers.disable_edns(outstanding.server);
                 if let Some(entry) = self.entries.get_mut(&key) {
-                    entry.next = now;
+                    entry.due_at = now;
                 }
             }
-            Err(e) => self.useless(now, key, &asking, e.to_string()),
+            Err(error) => self.retry_or_back_off(now, key, &outstanding, error.to_string()),
         }
     }
 
-    /// Nothing came.
+    /// Records that a query had no answer.
     pub fn failed(&mut self, now: u64, ticket: u64, failure: Failure) {
-        if let Some((key, asking)) = self.take(ticket) {
-            // One that answers, only not this, is no worse for other names; nor is one without TCP.
-            if asking.transport == Transport::Udp {
-                self.servers.failed(now, asking.server);
+        if let Some((key, outstanding)) = self.end_query(ticket) {
+            // Only a missing answer over UDP counts against the server: one whose answer is unusable, or that
+            // does not support TCP, may still serve other names.
+            if outstanding.transport == Transport::Udp {
+                self.servers.record_failure(now, outstanding.server);
             }
-            self.useless(now, key, &asking, failure.to_string());
+            self.retry_or_back_off(now, key, &outstanding, failure.to_string());
         }
     }
 
-    /// The asking that a ticket names; `None` for one that has ended already.
-    fn take(&mut self, ticket: u64) -> Option<(Key, Asking)> {
+    /// Removes and returns the query of a ticket; `None` if it has ended already.
+    fn end_query(&mut self, ticket: u64) -> Option<(QueryKey, OutstandingQuery)> {
         let key = self.tickets.remove(&ticket)?;
-        let asking = self.entries.get_mut(&key)?.asking.take()?;
-        Some((key, asking))
+        let outstanding = self.entries.get_mut(&key)?.outstanding.take()?;
+        Some((key, outstanding))
     }
 
-    fn useless(&mut self, now: u64, key: Key, asking: &Asking, why: String) {
-        let server = asking.server;
+    fn retry_or_back_off(&mut self, now: u64, key: QueryKey, outstanding: &OutstandingQuery, reason: String) {
+        let server = outstanding.server;
         self.counts.failed += 1;
-        self.trouble = Some(format!("{} {:?}: {} says: {why}", key.0, key.1, self.servers.get(server).at));
-        let most = self.servers.len().max(2);
-        let chance = self.rng.random_range(0.75..1.25);
+        self.trouble =
+            Some(format!("{} {:?}: server {}: {reason}", key.0, key.1, self.servers.get(server).address));
+        let max_tries = self.servers.len().max(2);
+        let jitter = self.rng.random_range(0.75..1.25);
         let Some(entry) = self.entries.get_mut(&key) else { return };
         entry.tried.push(server);
         entry.tries += 1;
-        if entry.tries < most {
-            entry.next = now;
+        if entry.tries < max_tries {
+            entry.due_at = now;
         } else {
-            let rest = REST.0.saturating_mul(1 << entry.failures.min(16)).min(REST.1);
+            let backoff = MIN_BACKOFF_MS.saturating_mul(1 << entry.failures.min(16)).min(MAX_BACKOFF_MS);
             entry.failures = entry.failures.saturating_add(1);
-            entry.rest(&key.0, now + (rest as f64 * chance) as u64);
+            entry.finish_round(&key.0, now + (backoff as f64 * jitter) as u64);
         }
     }
 
-    /// Takes what an answer said.
-    fn settle(&mut self, now: u64, key: Key, reply: Reply) {
-        let l = self.settings.lifetimes;
+    /// Applies the content of an answer.
+    fn apply_reply(&mut self, now: u64, key: QueryKey, reply: Reply) {
+        let lifetimes = self.settings.lifetimes;
         match reply {
-            Reply::Boxes { records, ttl, beside } => {
+            Reply::Service { records, ttl, additional } => {
                 self.answers += 1;
-                // RFC 2782: a single record with the root as its target says that there is no such service.
-                let none = records.iter().all(|r| r.target.is_root());
-                let kept: Vec<SRV> = records.into_iter().filter(|r| !r.target.is_root()).collect();
-                self.hosts(now, &kept, beside);
-                let what = if none { What::Nothing } else { What::Boxes(kept) };
-                self.hold(now, &key, what, l.of(ttl));
+                // RFC 2782: a single record whose target is the root name means that the service is not
+                // available.
+                let unavailable = records.iter().all(|r| r.target.is_root());
+                let records: Vec<SRV> = records.into_iter().filter(|r| !r.target.is_root()).collect();
+                self.update_hosts(now, &records, additional);
+                let data = if unavailable { Data::Negative } else { Data::Service(records) };
+                self.store(now, &key, data, lifetimes.answer_lifetime(ttl));
             }
             Reply::Addresses { addresses, ttl } => {
-                self.hold(now, &key, What::Addresses(addresses), l.of(ttl))
+                self.store(now, &key, Data::Addresses(addresses), lifetimes.answer_lifetime(ttl))
             }
-            Reply::Nothing { soa, .. } => {
+            Reply::Negative { soa, .. } => {
                 if key.1 == Kind::Srv {
                     self.answers += 1;
-                    self.hosts(now, &[], BTreeMap::new());
+                    self.update_hosts(now, &[], BTreeMap::new());
                 }
-                self.hold(now, &key, What::Nothing, l.of_nothing(soa));
+                self.store(now, &key, Data::Negative, lifetimes.negative_lifetime(soa));
             }
             Reply::Alias { to, links, .. } => {
                 let Some(entry) = self.entries.get_mut(&key) else { return };
                 entry.links += links;
-                // A circle over several answers grows the count as well.
-                if entry.links > MOST_LINKS {
-                    self.trouble = Some(format!("{} {:?}: {}", key.0, key.1, Unreadable::Chain));
+                // Loops over several answers increase the count, too.
+                if entry.links > MAX_CNAME_LINKS {
+                    self.trouble = Some(format!("{} {:?}: {}", key.0, key.1, AnswerError::CnameChain));
                     entry.failures = entry.failures.saturating_add(1);
-                    entry.rest(&key.0, now + REST.1);
+                    entry.finish_round(&key.0, now + MAX_BACKOFF_MS);
                 } else {
-                    (entry.name, entry.next, entry.tries) = (to, now, 0);
+                    (entry.name, entry.due_at, entry.tries) = (to, now, 0);
                 }
             }
             Reply::Truncated => {}
         }
     }
 
-    fn hold(&mut self, now: u64, key: &Key, what: What, span: u64) {
-        let l = self.settings.lifetimes;
-        let next = l.refresh(now, span, self.rng.random());
+    fn store(&mut self, now: u64, key: &QueryKey, data: Data, lifetime: u64) {
+        let lifetimes = self.settings.lifetimes;
+        let due_at = lifetimes.refresh_at(now, lifetime, self.rng.random());
         let Some(entry) = self.entries.get_mut(key) else { return };
-        entry.held = Some(Held { what, until: now + span, stale_until: now + span + l.stale });
+        entry.cached = Some(CacheEntry {
+            data,
+            fresh_until: now + lifetime,
+            stale_until: now + lifetime + lifetimes.stale,
+        });
         entry.failures = 0;
-        entry.rest(&key.0, next);
+        entry.finish_round(&key.0, due_at);
     }
 
-    /// The hosts of the service: new ones are asked for, unless their addresses came beside; those that it names no more
-    /// are forgotten.
-    fn hosts(&mut self, now: u64, records: &[SRV], mut beside: BTreeMap<Key, (Vec<IpAddr>, u32)>) {
+    /// Updates the hosts of the service: new ones are queried unless the answer included their addresses;
+    /// those that it no longer names are removed.
+    fn update_hosts(
+        &mut self,
+        now: u64,
+        records: &[SRV],
+        mut additional: BTreeMap<QueryKey, (Vec<IpAddr>, u32)>,
+    ) {
         let kinds: &[Kind] = if self.settings.ipv6 { &[Kind::A, Kind::Aaaa] } else { &[Kind::A] };
         let targets: BTreeSet<&Name> = records.iter().map(|r| &r.target).collect();
-        let service = self.service();
-        let gone: Vec<Key> = self
+        let service = self.service_key();
+        let removed: Vec<QueryKey> = self
             .entries
             .keys()
             .filter(|key| **key != service && !targets.contains(&key.0))
             .cloned()
             .collect();
-        for key in gone {
-            if let Some(asking) = self.entries.remove(&key).and_then(|e| e.asking) {
-                self.tickets.remove(&asking.ticket);
+        for key in removed {
+            if let Some(outstanding) = self.entries.remove(&key).and_then(|e| e.outstanding) {
+                self.tickets.remove(&outstanding.ticket);
             }
         }
         for target in targets {
             for kind in kinds {
                 let key = (target.clone(), *kind);
                 self.entries.entry(key.clone()).or_insert_with(|| Entry::new(target, now));
-                if let Some((addresses, ttl)) = beside.remove(&key) {
-                    let span = self.settings.lifetimes.of(ttl);
-                    self.hold(now, &key, What::Addresses(addresses), span);
+                if let Some((addresses, ttl)) = additional.remove(&key) {
+                    let lifetime = self.settings.lifetimes.answer_lifetime(ttl);
+                    self.store(now, &key, Data::Addresses(addresses), lifetime);
                 }
             }
         }
     }
 
-    /// Whether boxes may stand at an address.
-    fn allowed(&self, at: IpAddr) -> bool {
-        let one = match at {
+    /// Returns whether servers may have this address.
+    fn allowed(&self, ip: IpAddr) -> bool {
+        let is_unicast = match ip {
             IpAddr::V4(a) => !a.is_unspecified() && !a.is_multicast() && !a.is_broadcast(),
             IpAddr::V6(a) => !a.is_unspecified() && !a.is_multicast(),
         };
         let networks = &self.settings.networks;
-        one && (networks.is_empty() || networks.iter().any(|n| n.contains(&at)))
+        is_unicast && (networks.is_empty() || networks.iter().any(|n| n.contains(&ip)))
     }
 
-    /// What is known as of now.
+    /// Returns the state of the service at `now`.
     pub fn view(&mut self, now: u64) -> ServiceView {
-        let service = &self.entries[&self.service()];
-        let word = match &service.held {
+        let service = &self.entries[&self.service_key()];
+        let word = match &service.cached {
             None => DnsTrust::Unknown,
-            Some(held) if now >= held.stale_until => DnsTrust::Silent,
-            Some(Held { what: What::Nothing, .. }) => DnsTrust::Nothing,
-            Some(held) if now >= held.until => DnsTrust::Stale,
+            Some(cached) if now >= cached.stale_until => DnsTrust::Silent,
+            Some(CacheEntry { data: Data::Negative, .. }) => DnsTrust::Nothing,
+            Some(cached) if now >= cached.fresh_until => DnsTrust::Stale,
             Some(_) => DnsTrust::Fresh,
         };
         let records: &[SRV] = match service.usable(now) {
-            Some(What::Boxes(records)) => records,
+            Some(Data::Service(records)) => records,
             _ => &[],
         };
-        let (mut at, mut pending, mut outside) = (BTreeMap::new(), 0, 0);
+        let (mut servers, mut pending, mut outside) = (BTreeMap::new(), 0, 0);
         for r in records {
-            let held = |kind| self.entries.get(&(r.target.clone(), kind));
-            let both = [held(Kind::A), held(Kind::Aaaa)];
-            let (mut any, mut open) = (false, false);
-            for entry in both.into_iter().flatten() {
+            let entry_of = |kind| self.entries.get(&(r.target.clone(), kind));
+            let address_entries = [entry_of(Kind::A), entry_of(Kind::Aaaa)];
+            let (mut any_resolved, mut unresolved) = (false, false);
+            for entry in address_entries.into_iter().flatten() {
                 match entry.usable(now) {
-                    Some(What::Addresses(addresses)) => {
-                        any = true;
+                    Some(Data::Addresses(addresses)) => {
+                        any_resolved = true;
                         for ip in addresses.iter().map(IpAddr::to_canonical) {
                             if !self.allowed(ip) {
                                 outside += 1;
@@ -528,58 +554,59 @@
                                 priority: r.priority,
                                 weight: r.weight,
                             };
-                            // A box that is named twice counts once, as it is named first.
-                            let entry = at.entry(named.address).or_insert(named);
+                            // A server that is named twice counts once, with its lowest priority value.
+                            let entry = servers.entry(named.address).or_insert(named);
                             if named.priority < entry.priority {
                                 *entry = named;
                             }
                         }
                     }
                     Some(_) => {}
-                    None => open = true,
+                    None => unresolved = true,
                 }
             }
-            pending += usize::from(open && !any);
+            pending += usize::from(unresolved && !any_resolved);
         }
         self.counts.outside = outside;
-        ServiceView { word, named: at.into_values().collect(), pending, answers: self.answers }
+        ServiceView { word, named: servers.into_values().collect(), pending, answers: self.answers }
     }
 
-    /// When to come back at the latest.
+    /// Returns the latest time at which [`Resolver::asks`] must be called again.
     pub fn due(&mut self, now: u64) -> u64 {
-        // With as many out as may be, the next begins when one of them ends.
-        let full = self.tickets.len() >= self.most_out();
-        let token = if full { u64::MAX } else { self.budget.due(now).max(self.servers.awake_at()) };
+        // At the limit of outstanding queries, the next one starts when one of them ends.
+        let at_limit = self.tickets.len() >= self.max_outstanding();
+        let next_start =
+            if at_limit { u64::MAX } else { self.budget.due(now).max(self.servers.available_at()) };
         let mut due = u64::MAX;
         for entry in self.entries.values() {
-            due = due.min(match &entry.asking {
-                Some(asking) => asking.lost_at,
-                None => entry.next.max(token),
+            due = due.min(match &entry.outstanding {
+                Some(outstanding) => outstanding.lost_at,
+                None => entry.due_at.max(next_start),
             });
-            if let Some(held) = &entry.held {
-                let turns = [held.until, held.stale_until];
-                due = turns.into_iter().filter(|t| *t > now).fold(due, u64::min);
+            if let Some(cached) = &entry.cached {
+                let expiries = [cached.fresh_until, cached.stale_until];
+                due = expiries.into_iter().filter(|t| *t > now).fold(due, u64::min);
             }
         }
         due
     }
 
-    /// Figures since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// What went wrong since it was last asked for, in words.
+    /// Returns a description of the last failure since the previous call, and clears it.
     pub fn trouble(&mut self) -> Option<String> {
         self.trouble.take()
     }
 
-    /// Names that are held or asked for: bounded by what one answer may hold.
+    /// Returns the number of cached or queried names, which is bounded by the size of one answer.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is none: never, the service itself is one.
+    /// Always returns `false`: the service itself is an entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/mothpier-names/src/servers.rs
+++ b/crates/mothpier-names/src/servers.rs
@@ -1,82 +1,88 @@
-//! Which server is asked: those that failed rest for a while that doubles.
+//! Selects the DNS server for a query. Servers that failed are avoided for a time that doubles with each
+//! failure.
 
 use std::net::SocketAddr;
 
-/// The first rest after a failure, and the longest, milliseconds.
-const REST: (u64, u64) = (1_000, 30_000);
+/// Back-off after the first failure.
+const MIN_BACKOFF_MS: u64 = 1_000;
+/// Maximum back-off after repeated failures.
+const MAX_BACKOFF_MS: u64 = 30_000;
 
-/// A server and how it has done.
+/// A DNS server and its recent results.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Where it is.
-    pub at: SocketAddr,
-    /// Failures in a row.
+    /// The address of the server.
+    pub address: SocketAddr,
+    /// Number of consecutive failures.
     pub failures: u32,
-    /// It understands EDNS, as far as is known.
+    /// Whether the server supports EDNS, as far as is known.
     pub edns: bool,
-    rests_until: u64,
+    backoff_until: u64,
 }
 
-/// The servers of a resolver.
+/// The DNS servers of a resolver.
 #[derive(Clone, Debug)]
 pub struct Servers {
     all: Vec<Server>,
-    /// The one that is asked while it does well: another at each node.
-    first: usize,
+    /// The preferred server; each node chooses its own at random.
+    preferred: usize,
 }
 
 impl Servers {
-    /// Servers, and which of them is the first choice.
-    pub fn new(at: &[SocketAddr], first: usize) -> Self {
-        let server = |at: &SocketAddr| Server { at: *at, failures: 0, edns: true, rests_until: 0 };
-        Servers { all: at.iter().map(server).collect(), first: first % at.len().max(1) }
+    /// Creates the set of servers; `preferred` is the index of the first choice.
+    pub fn new(addresses: &[SocketAddr], preferred: usize) -> Self {
+        let server =
+            |address: &SocketAddr| Server { address: *address, failures: 0, edns: true, backoff_until: 0 };
+        Servers { all: addresses.iter().map(server).collect(), preferred: preferred % addresses.len().max(1) }
     }
 
-    /// How many there are.
+    /// Returns the number of servers.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// One of them.
-    pub fn get(&self, number: usize) -> &Server {
-        &self.all[number]
+    /// Returns a server by its index.
+    pub fn get(&self, index: usize) -> &Server {
+        &self.all[index]
     }
 
-    /// When the first of them is awake; at once where one is.
-    pub fn awake_at(&self) -> u64 {
-        self.all.iter().map(|s| s.rests_until).min().unwrap_or(0)
+    /// Returns when the first server becomes available; a time in the past if one is available now.
+    pub fn available_at(&self) -> u64 {
+        self.all.iter().map(|s| s.backoff_until).min().unwrap_or(0)
     }
 
-    /// Whether one of them answered when it was last asked: while none did, one question at a time is enough to see.
-    pub fn any_well(&self) -> bool {
+    /// Returns whether any server answered its last query. While none did, one query at a time is enough to
+    /// detect a recovery.
+    pub fn any_healthy(&self) -> bool {
         self.all.iter().any(|s| s.failures == 0)
     }
 
-    /// Which to ask, leaving out those tried already: the first that does not rest, else the one whose rest ends first.
+    /// Chooses a server that is not in `tried`: the first one that is not backing off, else the one whose
+    /// back-off ends first.
     pub fn choose(&self, now: u64, tried: &[usize]) -> Option<usize> {
-        let order = (0..self.all.len()).map(|n| (self.first + n) % self.all.len());
-        let untried: Vec<usize> = order.filter(|n| !tried.contains(n)).collect();
-        let awake = untried.iter().find(|n| self.all[**n].rests_until <= now);
-        awake.or_else(|| untried.iter().min_by_key(|n| self.all[**n].rests_until)).copied()
+        let order = (0..self.all.len()).map(|index| (self.preferred + index) % self.all.len());
+        let untried: Vec<usize> = order.filter(|index| !tried.contains(index)).collect();
+        let available = untried.iter().find(|index| self.all[**index].backoff_until <= now);
+        available.or_else(|| untried.iter().min_by_key(|index| self.all[**index].backoff_until)).copied()
     }
 
-    /// It answered.
-    pub fn did_well(&mut self, number: usize) {
-        let server = &mut self.all[number];
-        (server.failures, server.rests_until) = (0, 0);
+    /// Records that a server answered.
+    pub fn record_success(&mut self, index: usize) {
+        let server = &mut self.all[index];
+        (server.failures, server.backoff_until) = (0, 0);
     }
 
-    /// It said nothing.
-    pub fn failed(&mut self, now: u64, number: usize) {
-        let server = &mut self.all[number];
-        let rest = REST.0.saturating_mul(1 << server.failures.min(16)).min(REST.1);
+    /// Records that a server did not answer.
+    pub fn record_failure(&mut self, now: u64, index: usize) {
+        let server = &mut self.all[index];
+        let backoff = MIN_BACKOFF_MS.saturating_mul(1 << server.failures.min(16)).min(MAX_BACKOFF_MS);
         server.failures = server.failures.saturating_add(1);
-        server.rests_until = now + rest;
+        server.backoff_until = now + backoff;
     }
 
-    /// It knows no EDNS.
-    pub fn plain(&mut self, number: usize) {
-        self.all[number].edns = false;
+    /// Records that a server does not support EDNS.
+    pub fn disable_edns(&mut self, index: usize) {
+        self.all[index].edns = false;
     }
 }
 
--- a/crates/mothpier-names/tests/resolver.rs
+++ b/crates/mothpier-names/tests/resolver.rs
@@ -1,4 +1,4 @@
-//! The resolver against answers of every kind, on a clock that the test sets.
+//! Tests the resolver with answers of every kind, on a simulated clock.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -30,244 +30,259 @@
     }
 }
 
-fn resolver() -> Resolver {
+fn new_resolver() -> Resolver {
     Resolver::new(settings(), [7; 32], NOW).unwrap()
 }
 
-/// An answer to what was asked, as a server makes it.
-fn reply(ask: &Query, make: impl FnOnce(&mut Message)) -> Vec<u8> {
-    let asked = Message::from_vec(&ask.bytes).unwrap();
-    let mut message = Message::new(asked.metadata.id, MessageType::Response, OpCode::Query);
-    message.add_queries(asked.queries.iter().cloned());
-    make(&mut message);
+/// Builds the answer of a DNS server to a query.
+fn reply(query: &Query, fill: impl FnOnce(&mut Message)) -> Vec<u8> {
+    let request = Message::from_vec(&query.bytes).unwrap();
+    let mut message = Message::new(request.metadata.id, MessageType::Response, OpCode::Query);
+    message.add_queries(request.queries.iter().cloned());
+    fill(&mut message);
     message.to_vec().unwrap()
 }
 
-fn srv(host: &str, ttl: u32) -> Record {
+fn srv_record(host: &str, ttl: u32) -> Record {
     Record::from_rdata(name(SERVICE), ttl, RData::SRV(SRV::new(0, 10, 6379, name(host))))
 }
 
-fn a(host: &str, last: u8, ttl: u32) -> Record {
+fn a_record(host: &str, last: u8, ttl: u32) -> Record {
     Record::from_rdata(name(host), ttl, RData::A(A(Ipv4Addr::new(10, 1, 0, last))))
 }
 
-fn cname(from: &str, to: &str) -> Record {
+fn cname_record(from: &str, to: &str) -> Record {
     Record::from_rdata(name(from), 60, RData::CNAME(CNAME(name(to))))
 }
 
-fn soa(ttl: u32, minimum: u32) -> Record {
+fn soa_record(ttl: u32, minimum: u32) -> Record {
     let soa = SOA::new(name("ns.example.org."), name("root.example.org."), 1, 60, 60, 60, minimum);
     Record::from_rdata(name("example.org."), ttl, RData::SOA(soa))
 }
 
-/// Two boxes with their addresses beside.
-fn both(message: &mut Message) {
-    message.add_answers([srv("pb1.example.org.", 30), srv("pb2.example.org.", 20)]);
-    message.add_additionals([a("pb1.example.org.", 1, 30), a("pb2.example.org.", 2, 30)]);
+/// Adds two servers, with their addresses in the additional section.
+fn add_both_servers(message: &mut Message) {
+    message.add_answers([srv_record("pb1.example.org.", 30), srv_record("pb2.example.org.", 20)]);
+    message.add_additionals([a_record("pb1.example.org.", 1, 30), a_record("pb2.example.org.", 2, 30)]);
 }
 
-fn one(r: &mut Resolver, now: u64) -> Query {
-    let mut asks = r.asks(now);
-    assert_eq!(asks.len(), 1, "{asks:?}");
-    asks.remove(0)
+fn only_query(resolver: &mut Resolver, now: u64) -> Query {
+    let mut queries = resolver.asks(now);
+    assert_eq!(queries.len(), 1, "{queries:?}");
+    queries.remove(0)
 }
 
-fn hosts(r: &mut Resolver, now: u64) -> Vec<String> {
-    r.view(now).named.iter().map(|n| n.address.to_string()).collect()
+fn addresses(resolver: &mut Resolver, now: u64) -> Vec<String> {
+    resolver.view(now).named.iter().map(|n| n.address.to_string()).collect()
 }
 
 const BOTH: [&str; 2] = ["10.1.0.1:6379", "10.1.0.2:6379"];
 
 #[test]
-fn a_service_with_its_addresses_beside_takes_one_question_and_is_asked_for_ahead_of_its_end() {
-    let mut r = resolver();
-    assert_eq!(r.view(NOW).word, DnsTrust::Unknown);
-    let ask = one(&mut r, NOW);
-    assert_eq!((ask.transport, ask.question.kind), (Transport::Udp, Kind::Srv));
-    assert!(r.asks(NOW).is_empty(), "no second question while one is out");
-    r.heard(NOW + 5, ask.ticket, &reply(&ask, both));
-    let view = r.view(NOW + 5);
+fn a_service_with_additional_addresses_takes_one_query_and_is_refreshed_early() {
+    let mut resolver = new_resolver();
+    assert_eq!(resolver.view(NOW).word, DnsTrust::Unknown);
+    let query = only_query(&mut resolver, NOW);
+    assert_eq!((query.transport, query.question.kind), (Transport::Udp, Kind::Srv));
+    assert!(resolver.asks(NOW).is_empty(), "a second query while one is outstanding");
+    resolver.heard(NOW + 5, query.ticket, &reply(&query, add_both_servers));
+    let view = resolver.view(NOW + 5);
     assert_eq!((view.word, view.pending, view.answers), (DnsTrust::Fresh, 0, 1));
-    assert_eq!(hosts(&mut r, NOW + 5), BOTH);
-    // The least lifetime of the set counts: 20 s, and it is asked for between seven and nine tenths of it.
-    let due = r.due(NOW + 5);
+    assert_eq!(addresses(&mut resolver, NOW + 5), BOTH);
+    // The lowest TTL of the set applies: 20 s. The refresh is due after 70 to 90 % of it.
+    let due = resolver.due(NOW + 5);
     assert!((NOW + 5 + 14_000..=NOW + 5 + 18_000).contains(&due), "{}", due - NOW);
-    assert!(r.asks(due - 1).is_empty());
-    assert!(r.asks(due).iter().any(|a| a.question.kind == Kind::Srv));
+    assert!(resolver.asks(due - 1).is_empty());
+    assert!(resolver.asks(due).iter().any(|query| query.question.kind == Kind::Srv));
 }
 
 #[test]
-fn hosts_without_addresses_are_asked_for_and_pending_until_then() {
-    let mut r = resolver();
-    let ask = one(&mut r, NOW);
-    r.heard(
+fn hosts_without_addresses_are_queried_and_pending_until_answered() {
+    let mut resolver = new_resolver();
+    let query = only_query(&mut resolver, NOW);
+    resolver.heard(
         NOW,
-        ask.ticket,
-        &reply(&ask, |m| {
-            m.add_answers([srv("pb1.example.org.", 30), srv("pb2.example.org.", 30)]);
-            m.add_additional(a("pb1.example.org.", 1, 30));
-            // Nobody asked for this one: not taken.
-            m.add_additional(a("evil.example.org.", 66, 30));
+        query.ticket,
+        &reply(&query, |m| {
+            m.add_answers([srv_record("pb1.example.org.", 30), srv_record("pb2.example.org.", 30)]);
+            m.add_additional(a_record("pb1.example.org.", 1, 30));
+            // No record names this host: it is ignored.
+            m.add_additional(a_record("evil.example.org.", 66, 30));
         }),
     );
-    assert_eq!((r.view(NOW).pending, hosts(&mut r, NOW)), (1, vec![BOTH[0].to_owned()]));
-    let ask = one(&mut r, NOW);
-    assert_eq!((ask.question.kind, ask.question.name.clone()), (Kind::A, name("pb2.example.org.")));
-    r.heard(
+    assert_eq!((resolver.view(NOW).pending, addresses(&mut resolver, NOW)), (1, vec![BOTH[0].to_owned()]));
+    let query = only_query(&mut resolver, NOW);
+    assert_eq!((query.question.kind, query.question.name.clone()), (Kind::A, name("pb2.example.org.")));
+    resolver.heard(
         NOW,
-        ask.ticket,
-        &reply(&ask, |m| {
-            m.add_answers([cname("pb2.example.org.", "x.example.org."), a("x.example.org.", 2, 30)]);
+        query.ticket,
+        &reply(&query, |m| {
+            m.add_answers([
+                cname_record("pb2.example.org.", "x.example.org."),
+                a_record("x.example.org.", 2, 30),
+            ]);
         }),
     );
-    assert_eq!((r.view(NOW).pending, hosts(&mut r, NOW)), (0, BOTH.map(str::to_owned).to_vec()));
-    // A host that the service names no more is forgotten, with what is asked for it.
-    assert_eq!(r.len(), 3);
+    assert_eq!(
+        (resolver.view(NOW).pending, addresses(&mut resolver, NOW)),
+        (0, BOTH.map(str::to_owned).to_vec())
+    );
+    // A host that the service no longer names is removed together with its outstanding query.
+    assert_eq!(resolver.len(), 3);
     let due = NOW + 60_000;
-    let asks = r.asks(due);
-    let service = asks.iter().find(|a| a.question.kind == Kind::Srv).unwrap();
-    r.heard(
+    let queries = resolver.asks(due);
+    let service = queries.iter().find(|query| query.question.kind == Kind::Srv).unwrap();
+    resolver.heard(
         due,
         service.ticket,
         &reply(service, |m| {
-            m.add_answer(srv("pb1.example.org.", 30));
+            m.add_answer(srv_record("pb1.example.org.", 30));
         }),
     );
-    assert_eq!((r.len(), hosts(&mut r, due)), (2, vec![BOTH[0].to_owned()]));
-    let late = asks.iter().find(|a| a.question.name == name("pb2.example.org.")).unwrap();
-    r.heard(
+    assert_eq!((resolver.len(), addresses(&mut resolver, due)), (2, vec![BOTH[0].to_owned()]));
+    let late = queries.iter().find(|query| query.question.name == name("pb2.example.org.")).unwrap();
+    resolver.heard(
         due,
         late.ticket,
         &reply(late, |m| {
-            m.add_answer(a("pb2.example.org.", 2, 30));
+            m.add_answer(a_record("pb2.example.org.", 2, 30));
         }),
     );
-    assert_eq!(r.len(), 2, "an answer for what is forgotten brings nothing back");
+    assert_eq!(resolver.len(), 2, "an answer for a removed host must not restore it");
 }
 
 #[test]
-fn cut_answers_are_asked_for_over_tcp_and_a_server_without_tcp_is_left() {
-    let mut r = resolver();
-    let ask = one(&mut r, NOW);
-    r.heard(
+fn truncated_answers_are_repeated_over_tcp_and_a_server_without_tcp_is_skipped() {
+    let mut resolver = new_resolver();
+    let query = only_query(&mut resolver, NOW);
+    resolver.heard(
         NOW,
-        ask.ticket,
-        &reply(&ask, |m| {
-            both(m);
+        query.ticket,
+        &reply(&query, |m| {
+            add_both_servers(m);
             m.metadata.truncation = true;
         }),
     );
-    assert!(r.view(NOW).named.is_empty(), "nothing of a cut answer is used");
-    let tcp = one(&mut r, NOW);
-    assert_eq!((tcp.transport, tcp.server), (Transport::Tcp, ask.server));
-    r.failed(NOW + 1, tcp.ticket, Failure::Broken);
-    let other = one(&mut r, NOW + 1);
-    assert!(other.transport == Transport::Udp && other.server != ask.server);
-    r.heard(NOW + 2, other.ticket, &reply(&other, both));
-    assert_eq!(hosts(&mut r, NOW + 2), BOTH);
-    assert_eq!((r.counts().tcp, r.counts().failed, r.counts().answered), (1, 1, 1));
+    assert!(resolver.view(NOW).named.is_empty(), "a truncated answer must not be used");
+    let tcp = only_query(&mut resolver, NOW);
+    assert_eq!((tcp.transport, tcp.server), (Transport::Tcp, query.server));
+    resolver.failed(NOW + 1, tcp.ticket, Failure::Broken);
+    let other = only_query(&mut resolver, NOW + 1);
+    assert!(other.transport == Transport::Udp && other.server != query.server);
+    resolver.heard(NOW + 2, other.ticket, &reply(&other, add_both_servers));
+    assert_eq!(addresses(&mut resolver, NOW + 2), BOTH);
+    assert_eq!((resolver.counts().tcp, resolver.counts().failed, resolver.counts().answered), (1, 1, 1));
 }
 
 #[test]
-fn what_is_held_goes_on_stale_within_its_time_while_servers_fail_and_they_are_left_in_peace() {
-    let mut r = resolver();
-    let ask = one(&mut r, NOW);
-    r.heard(NOW, ask.ticket, &reply(&ask, both));
-    let (mut now, mut asked) = (NOW, 0);
+fn stale_data_is_used_within_its_limit_and_failing_servers_are_queried_rarely() {
+    let mut resolver = new_resolver();
+    let query = only_query(&mut resolver, NOW);
+    resolver.heard(NOW, query.ticket, &reply(&query, add_both_servers));
+    let (mut now, mut query_count) = (NOW, 0);
     while now < NOW + 100_000 {
-        now = r.due(now).max(now + 1);
-        let asks = r.asks(now);
-        asked += asks.len();
-        for ask in asks {
-            match ask.ticket % 3 {
-                0 => r.failed(now, ask.ticket, Failure::TimedOut),
-                1 => r.heard(
+        now = resolver.due(now).max(now + 1);
+        let queries = resolver.asks(now);
+        query_count += queries.len();
+        for query in queries {
+            match query.ticket % 3 {
+                0 => resolver.failed(now, query.ticket, Failure::TimedOut),
+                1 => resolver.heard(
                     now,
-                    ask.ticket,
-                    &reply(&ask, |m| {
+                    query.ticket,
+                    &reply(&query, |m| {
                         m.metadata.response_code = ResponseCode::ServFail;
                     }),
                 ),
-                _ => r.heard(now, ask.ticket, b"what is this"),
+                _ => resolver.heard(now, query.ticket, b"what is this"),
             }
         }
-        assert_eq!(hosts(&mut r, now), BOTH, "{}", now - NOW);
+        assert_eq!(addresses(&mut resolver, now), BOTH, "{}", now - NOW);
     }
-    // Three names, two servers, rests of up to 30 s for each: not much more than one question in four seconds.
-    assert!((10..=40).contains(&asked), "{asked}");
-    assert_eq!(r.view(NOW + 19_999).word, DnsTrust::Fresh);
-    assert_eq!(r.view(NOW + 20_000).word, DnsTrust::Stale);
-    assert_eq!(r.view(NOW + 119_999).named.len(), 2);
-    assert_eq!((r.view(NOW + 120_000).word, r.view(NOW + 120_000).named.len()), (DnsTrust::Silent, 0));
-    assert!(r.trouble().is_some_and(|t| t.contains("example.org")));
+    // Three names, two servers, back-off of up to 30 s for each: not much more than one query every four
+    // seconds.
+    assert!((10..=40).contains(&query_count), "{query_count}");
+    assert_eq!(resolver.view(NOW + 19_999).word, DnsTrust::Fresh);
+    assert_eq!(resolver.view(NOW + 20_000).word, DnsTrust::Stale);
+    assert_eq!(resolver.view(NOW + 119_999).named.len(), 2);
+    assert_eq!(
+        (resolver.view(NOW + 120_000).word, resolver.view(NOW + 120_000).named.len()),
+        (DnsTrust::Silent, 0)
+    );
+    assert!(resolver.trouble().is_some_and(|t| t.contains("example.org")));
 }
 
-/// In an outage of all servers, 60 hosts are not 60 questions: one at a time, and ever more seldom.
+/// While all servers are down, 60 hosts do not cause 60 queries: there is one query at a time, less and less
+/// often.
 #[test]
-fn servers_that_say_nothing_are_asked_by_one_question_at_a_time() {
-    let mut r = resolver();
-    let ask = one(&mut r, NOW);
-    r.heard(
+fn silent_servers_get_one_query_at_a_time() {
+    let mut resolver = new_resolver();
+    let query = only_query(&mut resolver, NOW);
+    resolver.heard(
         NOW,
-        ask.ticket,
-        &reply(&ask, |m| {
+        query.ticket,
+        &reply(&query, |m| {
             for n in 0..60 {
-                m.add_answer(srv(&format!("pb{n}.example.org."), 10));
-                m.add_additional(a(&format!("pb{n}.example.org."), n, 10));
+                m.add_answer(srv_record(&format!("pb{n}.example.org."), 10));
+                m.add_additional(a_record(&format!("pb{n}.example.org."), n, 10));
             }
         }),
     );
-    let (mut now, mut out, mut asked, mut late) = (NOW, Vec::new(), 0, 0);
+    let (mut now, mut outstanding, mut query_count, mut late) = (NOW, Vec::new(), 0, 0);
     while now < NOW + 100_000 {
-        for ask in r.asks(now) {
-            asked += 1;
+        for query in resolver.asks(now) {
+            query_count += 1;
             late += u64::from(now > NOW + 50_000);
-            out.push((now + ask.wait, ask));
+            outstanding.push((now + query.wait, query));
         }
-        assert!(out.len() <= if asked > 16 { 1 } else { 8 }, "{} out after {asked}", out.len());
-        let next = out.iter().map(|(at, _)| *at).min().unwrap_or(u64::MAX);
-        now = r.due(now).min(next).max(now + 1);
-        out.retain(|(at, ask)| {
-            if *at <= now {
-                r.failed(now, ask.ticket, Failure::TimedOut);
+        assert!(
+            outstanding.len() <= if query_count > 16 { 1 } else { 8 },
+            "{} outstanding after {query_count}",
+            outstanding.len()
+        );
+        let next = outstanding.iter().map(|(deadline, _)| *deadline).min().unwrap_or(u64::MAX);
+        now = resolver.due(now).min(next).max(now + 1);
+        outstanding.retain(|(deadline, query)| {
+            if *deadline <= now {
+                resolver.failed(now, query.ticket, Failure::TimedOut);
             }
-            *at > now
+            *deadline > now
         });
     }
-    assert_eq!(r.view(now).named.len(), 60);
-    assert!(asked <= 40 && late <= 6, "{asked} asked, {late} in the second half");
-    // One of them is back: all is asked again as ever.
-    now = r.due(now);
-    let ask = one(&mut r, now);
-    r.heard(
+    assert_eq!(resolver.view(now).named.len(), 60);
+    assert!(query_count <= 40 && late <= 6, "{query_count} queries, {late} in the second half");
+    // After one server recovers, queries are sent at the normal rate again.
+    now = resolver.due(now);
+    let query = only_query(&mut resolver, now);
+    resolver.heard(
         now,
-        ask.ticket,
-        &reply(&ask, |m| match ask.question.kind {
+        query.ticket,
+        &reply(&query, |m| match query.question.kind {
             Kind::Srv => {
-                m.add_answers((0..60).map(|n| srv(&format!("pb{n}.example.org."), 10)));
+                m.add_answers((0..60).map(|n| srv_record(&format!("pb{n}.example.org."), 10)));
             }
             _ => {
-                m.add_answer(a(&ask.question.name.to_ascii(), 1, 10));
+                m.add_answer(a_record(&query.question.name.to_ascii(), 1, 10));
             }
         }),
     );
-    assert_eq!(r.asks(now).len(), 8);
+    assert_eq!(resolver.asks(now).len(), 8);
 }
 
 #[test]
-fn no_such_name_no_such_kind_and_a_service_that_is_decidedly_not_there() {
+fn negative_answers_are_cached_for_their_lifetime() {
     type Make = fn(&mut Message);
     let cases: [(Make, u64); 4] = [
         (
             |m| {
                 m.metadata.response_code = ResponseCode::NXDomain;
-                m.add_authority(soa(900, 5));
+                m.add_authority(soa_record(900, 5));
             },
             5_000,
         ),
         (
             |m| {
-                m.add_authority(soa(4, 900));
+                m.add_authority(soa_record(4, 900));
             },
             4_000,
         ),
@@ -283,235 +298,244 @@
             7_000,
         ),
     ];
-    for (make, counts) in cases {
-        let mut r = resolver();
-        let ask = one(&mut r, NOW);
-        r.heard(NOW, ask.ticket, &reply(&ask, make));
-        let view = r.view(NOW);
+    for (fill, lifetime) in cases {
+        let mut resolver = new_resolver();
+        let query = only_query(&mut resolver, NOW);
+        resolver.heard(NOW, query.ticket, &reply(&query, fill));
+        let view = resolver.view(NOW);
         assert_eq!((view.word, view.named.len(), view.pending, view.answers), (DnsTrust::Nothing, 0, 0, 1));
-        let due = r.due(NOW) - NOW;
-        assert!((counts * 7 / 10..=counts).contains(&due), "{counts}: {due}");
+        let due = resolver.due(NOW) - NOW;
+        assert!((lifetime * 7 / 10..=lifetime).contains(&due), "{lifetime}: {due}");
     }
 }
 
 #[test]
-fn lifetimes_of_nothing_and_of_half_of_all_numbers_are_the_floor() {
+fn zero_ttls_and_ttls_with_the_highest_bit_use_the_floor() {
     for ttl in [0, 1 << 31, u32::MAX] {
-        let mut r = resolver();
-        let ask = one(&mut r, NOW);
-        r.heard(
+        let mut resolver = new_resolver();
+        let query = only_query(&mut resolver, NOW);
+        resolver.heard(
             NOW,
-            ask.ticket,
-            &reply(&ask, |m| {
-                m.add_answer(srv("pb1.example.org.", ttl));
-                m.add_additional(a("pb1.example.org.", 1, ttl));
+            query.ticket,
+            &reply(&query, |m| {
+                m.add_answer(srv_record("pb1.example.org.", ttl));
+                m.add_additional(a_record("pb1.example.org.", 1, ttl));
             }),
         );
-        let due = r.due(NOW) - NOW;
+        let due = resolver.due(NOW) - NOW;
         assert!((1_400..=1_800).contains(&due), "{ttl}: {due}");
     }
 }
 
 #[test]
-fn chains_of_names_are_followed_so_far_and_circles_are_not() {
-    let mut r = resolver();
-    let ask = one(&mut r, NOW);
-    // The chain leaves the answer: its end is asked for, and then held for the service's own name.
-    r.heard(
+fn alias_chains_are_followed_up_to_the_limit_and_loops_are_rejected() {
+    let mut resolver = new_resolver();
+    let query = only_query(&mut resolver, NOW);
+    // The end of the chain is not in the answer: it is queried next, and the result is stored for the
+    // service's own name.
+    resolver.heard(
         NOW,
-        ask.ticket,
-        &reply(&ask, |m| {
-            m.add_answer(cname(SERVICE, "boxes.example.net."));
+        query.ticket,
+        &reply(&query, |m| {
+            m.add_answer(cname_record(SERVICE, "boxes.example.net."));
         }),
     );
-    let ask = one(&mut r, NOW);
-    assert_eq!(ask.question.name, name("boxes.example.net."));
-    r.heard(
+    let query = only_query(&mut resolver, NOW);
+    assert_eq!(query.question.name, name("boxes.example.net."));
+    resolver.heard(
         NOW,
-        ask.ticket,
-        &reply(&ask, |m| {
+        query.ticket,
+        &reply(&query, |m| {
             m.add_answer(Record::from_rdata(
                 name("boxes.example.net."),
                 30,
                 RData::SRV(SRV::new(0, 1, 1, name("pb1.example.org."))),
             ));
-            m.add_additional(a("pb1.example.org.", 1, 30));
+            m.add_additional(a_record("pb1.example.org.", 1, 30));
         }),
     );
-    assert_eq!(hosts(&mut r, NOW), ["10.1.0.1:1"]);
-    let again = r.asks(NOW + 60_000);
-    assert!(again.iter().any(|a| a.question.name == name(SERVICE)), "a refresh begins at the name itself");
-    // In one answer, and over several.
-    let mut r = resolver();
-    let ask = one(&mut r, NOW);
-    r.heard(
+    assert_eq!(addresses(&mut resolver, NOW), ["10.1.0.1:1"]);
+    let again = resolver.asks(NOW + 60_000);
+    assert!(
+        again.iter().any(|query| query.question.name == name(SERVICE)),
+        "a refresh must start at the name itself"
+    );
+    // Loops within one answer and over several answers.
+    let mut resolver = new_resolver();
+    let query = only_query(&mut resolver, NOW);
+    resolver.heard(
         NOW,
-        ask.ticket,
-        &reply(&ask, |m| {
-            m.add_answers([cname(SERVICE, "x.example.org."), cname("x.example.org.", SERVICE)]);
+        query.ticket,
+        &reply(&query, |m| {
+            m.add_answers([cname_record(SERVICE, "x.example.org."), cname_record("x.example.org.", SERVICE)]);
         }),
     );
-    assert_eq!(r.counts().failed, 1);
-    let mut r = resolver();
-    let mut asked = 0;
-    while let [ask] = &r.asks(NOW)[..] {
-        asked += 1;
-        let to = if ask.question.name == name(SERVICE) { "x.example.org." } else { SERVICE };
-        r.heard(
+    assert_eq!(resolver.counts().failed, 1);
+    let mut resolver = new_resolver();
+    let mut query_count = 0;
+    while let [query] = &resolver.asks(NOW)[..] {
+        query_count += 1;
+        let to = if query.question.name == name(SERVICE) { "x.example.org." } else { SERVICE };
+        resolver.heard(
             NOW,
-            ask.ticket,
-            &reply(ask, |m| {
-                m.add_answer(cname(&ask.question.name.to_ascii(), to));
+            query.ticket,
+            &reply(query, |m| {
+                m.add_answer(cname_record(&query.question.name.to_ascii(), to));
             }),
         );
     }
-    assert_eq!(asked, 9, "eight links, and the question that finds one too many");
-    assert_eq!(r.view(NOW).word, DnsTrust::Unknown);
+    assert_eq!(query_count, 9, "eight links, and the query that finds one too many");
+    assert_eq!(resolver.view(NOW).word, DnsTrust::Unknown);
 }
 
 #[test]
-fn answers_of_others_are_none_and_neither_are_addresses_outside() {
-    let mut r = resolver();
-    let ask = one(&mut r, NOW);
-    let good = reply(&ask, both);
+fn foreign_answers_and_addresses_outside_the_networks_are_ignored() {
+    let mut resolver = new_resolver();
+    let query = only_query(&mut resolver, NOW);
+    let valid_answer = reply(&query, add_both_servers);
     let with = |change: &dyn Fn(&mut Message)| {
-        let mut message = Message::from_vec(&good).unwrap();
+        let mut message = Message::from_vec(&valid_answer).unwrap();
         change(&mut message);
         message.to_vec().unwrap()
     };
     let other = |name: &str, kind| DnsQuery::query(Name::from_ascii(name).unwrap(), kind);
-    for not in [
+    for foreign in [
         with(&|m| m.metadata.id = m.metadata.id.wrapping_add(1)),
         with(&|m| m.metadata.message_type = MessageType::Query),
         with(&|m| m.queries = vec![other("other.example.org.", RecordType::SRV)]),
         with(&|m| m.queries = vec![other(SERVICE, RecordType::A)]),
         with(&|m| m.queries = Vec::new()),
         with(&|m| m.queries = vec![other(SERVICE, RecordType::SRV), other(SERVICE, RecordType::SRV)]),
-        ask.bytes.clone(),
+        query.bytes.clone(),
         Vec::new(),
         vec![0; 2],
     ] {
-        assert_eq!(ask.question.matches(&not), Match::Not, "{not:?}");
+        assert_eq!(query.question.matches(&foreign), Match::Not, "{foreign:?}");
     }
-    assert_eq!(ask.question.matches(&good[..good.len() - 3]), Match::Broken);
-    assert!(matches!(ask.question.matches(&good), Match::Answer(_)));
-    r.heard(
+    assert_eq!(query.question.matches(&valid_answer[..valid_answer.len() - 3]), Match::Broken);
+    assert!(matches!(query.question.matches(&valid_answer), Match::Answer(_)));
+    resolver.heard(
         NOW,
-        ask.ticket,
-        &reply(&ask, |m| {
-            m.add_answers([srv("pb1.example.org.", 30), srv("out.example.org.", 30)]);
+        query.ticket,
+        &reply(&query, |m| {
+            m.add_answers([srv_record("pb1.example.org.", 30), srv_record("out.example.org.", 30)]);
             let outside = A(Ipv4Addr::new(192, 0, 2, 1));
             m.add_additionals([
-                a("pb1.example.org.", 1, 30),
+                a_record("pb1.example.org.", 1, 30),
                 Record::from_rdata(name("out.example.org."), 30, RData::A(outside)),
             ]);
         }),
     );
-    assert_eq!((hosts(&mut r, NOW), r.counts().outside), (vec![BOTH[0].to_owned()], 1));
+    assert_eq!((addresses(&mut resolver, NOW), resolver.counts().outside), (vec![BOTH[0].to_owned()], 1));
 }
 
 #[test]
-fn a_server_without_edns_is_asked_again_without_it() {
-    let mut r = resolver();
-    let ask = one(&mut r, NOW);
-    assert!(Message::from_vec(&ask.bytes).unwrap().edns.is_some());
-    r.heard(
+fn a_server_without_edns_is_queried_again_without_it() {
+    let mut resolver = new_resolver();
+    let query = only_query(&mut resolver, NOW);
+    assert!(Message::from_vec(&query.bytes).unwrap().edns.is_some());
+    resolver.heard(
         NOW,
-        ask.ticket,
-        &reply(&ask, |m| {
+        query.ticket,
+        &reply(&query, |m| {
             m.metadata.response_code = ResponseCode::FormErr;
             m.queries.clear();
         }),
     );
-    let again = one(&mut r, NOW);
-    assert_eq!(again.server, ask.server);
+    let again = only_query(&mut resolver, NOW);
+    assert_eq!(again.server, query.server);
     assert!(Message::from_vec(&again.bytes).unwrap().edns.is_none());
-    // It says so of the plain question, too: it is of no use.
-    r.heard(
+    // The same error for the query without EDNS makes the answer unusable.
+    resolver.heard(
         NOW,
         again.ticket,
         &reply(&again, |m| {
             m.metadata.response_code = ResponseCode::FormErr;
         }),
     );
-    assert_ne!(one(&mut r, NOW).server, ask.server);
+    assert_ne!(only_query(&mut resolver, NOW).server, query.server);
 }
 
 #[test]
-fn five_hundred_records_are_read_and_too_many_are_refused_whole() {
-    let many = |count: u32| {
+fn five_hundred_hosts_are_accepted_and_too_many_records_are_rejected_whole() {
+    let add_hosts = |count: u32| {
         move |m: &mut Message| {
             for n in 0..count {
                 let host = format!("pb{n}.example.org.");
-                m.add_answer(srv(&host, 30));
+                m.add_answer(srv_record(&host, 30));
                 let at = Ipv4Addr::from(0x0a02_0000 + n);
                 m.add_additional(Record::from_rdata(name(&host), 30, RData::A(A(at))));
             }
         }
     };
-    let mut r = resolver();
-    let ask = one(&mut r, NOW);
-    r.heard(NOW, ask.ticket, &reply(&ask, many(500)));
-    assert_eq!(hosts(&mut r, NOW).len(), 500);
-    let mut r = resolver();
-    let ask = one(&mut r, NOW);
-    r.heard(NOW, ask.ticket, &reply(&ask, many(520)));
-    assert_eq!((r.view(NOW).word, r.len()), (DnsTrust::Unknown, 1));
-    assert!(r.trouble().unwrap().contains("1040 records; 1024 are taken at the most"));
+    let mut resolver = new_resolver();
+    let query = only_query(&mut resolver, NOW);
+    resolver.heard(NOW, query.ticket, &reply(&query, add_hosts(500)));
+    assert_eq!(addresses(&mut resolver, NOW).len(), 500);
+    let mut resolver = new_resolver();
+    let query = only_query(&mut resolver, NOW);
+    resolver.heard(NOW, query.ticket, &reply(&query, add_hosts(520)));
+    assert_eq!((resolver.view(NOW).word, resolver.len()), (DnsTrust::Unknown, 1));
+    assert!(resolver.trouble().unwrap().contains("1040 records, more than the limit of 1024"));
 }
 
 #[test]
-fn askings_keep_to_the_budget_and_nodes_that_begin_together_spread_them() {
-    let slow = Settings { nodes: 80, tier_per_s: 40.0, burst: 4.0, ..settings() };
-    let mut first = Vec::new();
-    let mut per_second = [0; 30];
+fn queries_keep_to_the_budget_and_nodes_that_start_together_spread_them() {
+    let limited = Settings { nodes: 80, tier_per_s: 40.0, burst: 4.0, ..settings() };
+    let mut first_queries = Vec::new();
+    let mut queries_per_second = [0; 30];
     for node in 0..80u8 {
-        let mut r = Resolver::new(slow.clone(), [node; 32], NOW).unwrap();
+        let mut resolver = Resolver::new(limited.clone(), [node; 32], NOW).unwrap();
         let mut now = NOW;
         while now < NOW + 30_000 {
-            for ask in r.asks(now) {
-                if ask.ticket == 1 {
-                    first.push(now);
+            for query in resolver.asks(now) {
+                if query.ticket == 1 {
+                    first_queries.push(now);
                 }
-                per_second[(now - NOW) as usize / 1000] += 1;
-                // 60 hosts, none with its address beside.
-                r.heard(
+                queries_per_second[(now - NOW) as usize / 1000] += 1;
+                // 60 hosts, without additional addresses.
+                resolver.heard(
                     now,
-                    ask.ticket,
-                    &reply(&ask, |m| match ask.question.kind {
+                    query.ticket,
+                    &reply(&query, |m| match query.question.kind {
                         Kind::Srv => {
-                            m.add_answers((0..60).map(|n| srv(&format!("pb{n}.example.org."), 60)));
+                            m.add_answers((0..60).map(|n| srv_record(&format!("pb{n}.example.org."), 60)));
                         }
                         _ => {
-                            m.add_answer(a(&ask.question.name.to_ascii(), 1, 60));
+                            m.add_answer(a_record(&query.question.name.to_ascii(), 1, 60));
                         }
                     }),
                 );
             }
-            now = r.due(now).max(now + 1);
+            now = resolver.due(now).max(now + 1);
         }
     }
-    first.sort_unstable();
-    assert!(first[0] < NOW + 100 && first[79] > NOW + 1_900 && first[40] - first[39] < 200, "{first:?}");
-    // The bursts of all nodes within the spread, and the rate from then on.
-    assert!(per_second[0..3].iter().sum::<i32>() <= 80 * 4 + 3 * 40);
-    assert!(per_second[4..].iter().all(|n| (30..=50).contains(n)), "{per_second:?}");
+    first_queries.sort_unstable();
+    assert!(
+        first_queries[0] < NOW + 100
+            && first_queries[79] > NOW + 1_900
+            && first_queries[40] - first_queries[39] < 200,
+        "{first_queries:?}"
+    );
+    // The bursts of all nodes fall within the startup spread; afterwards the rate applies.
+    assert!(queries_per_second[0..3].iter().sum::<i32>() <= 80 * 4 + 3 * 40);
+    assert!(queries_per_second[4..].iter().all(|n| (30..=50).contains(n)), "{queries_per_second:?}");
 }
 
 #[test]
-fn an_asking_that_its_caller_forgot_ends_all_the_same() {
-    let mut r = resolver();
-    let ask = one(&mut r, NOW);
-    assert_eq!(r.due(NOW), NOW + 1_500);
-    let again = one(&mut r, NOW + 1_500);
-    assert_ne!(again.server, ask.server);
-    r.heard(NOW + 1_600, ask.ticket, &reply(&ask, both));
-    assert_eq!(r.view(NOW + 1_600).word, DnsTrust::Unknown, "its ticket is over");
+fn a_query_whose_result_is_never_reported_times_out() {
+    let mut resolver = new_resolver();
+    let query = only_query(&mut resolver, NOW);
+    assert_eq!(resolver.due(NOW), NOW + 1_500);
+    let again = only_query(&mut resolver, NOW + 1_500);
+    assert_ne!(again.server, query.server);
+    resolver.heard(NOW + 1_600, query.ticket, &reply(&query, add_both_servers));
+    assert_eq!(resolver.view(NOW + 1_600).word, DnsTrust::Unknown, "the query has ended");
 }
 
-/// The longest name that there is: 255 bytes on the wire. A longer one is none.
+/// The longest valid name has 255 bytes on the wire; a longer one is rejected.
 #[test]
-fn a_service_may_have_the_longest_name_that_there_is() {
+fn a_service_may_have_the_longest_valid_name() {
     let label = "a".repeat(63);
     let longest = format!("{label}.{label}.{label}.{}.", "a".repeat(61));
     assert!(
@@ -519,38 +543,38 @@
             && Name::from_ascii(format!("b.{longest}")).is_err()
     );
     let service = name(&longest);
-    let mut r = Resolver::new(Settings { service, ..settings() }, [7; 32], NOW).unwrap();
-    let ask = one(&mut r, NOW);
-    r.heard(
+    let mut resolver = Resolver::new(Settings { service, ..settings() }, [7; 32], NOW).unwrap();
+    let query = only_query(&mut resolver, NOW);
+    resolver.heard(
         NOW,
-        ask.ticket,
-        &reply(&ask, |m| {
+        query.ticket,
+        &reply(&query, |m| {
             let target = RData::SRV(SRV::new(0, 1, 6379, name("pb1.example.org.")));
-            m.add_answer(Record::from_rdata(ask.question.name.clone(), 30, target));
-            m.add_additional(a("pb1.example.org.", 1, 30));
+            m.add_answer(Record::from_rdata(query.question.name.clone(), 30, target));
+            m.add_additional(a_record("pb1.example.org.", 1, 30));
         }),
     );
-    assert_eq!(hosts(&mut r, NOW), ["10.1.0.1:6379"]);
+    assert_eq!(addresses(&mut resolver, NOW), ["10.1.0.1:6379"]);
 }
 
 #[test]
-fn settings_that_can_not_work_are_refused() {
-    let bad = |settings| Resolver::new(settings, [0; 32], 0).err().unwrap().to_string();
-    assert_eq!(bad(Settings { servers: vec![], ..settings() }), "0 servers; name 1 to 8");
+fn invalid_settings_are_rejected() {
+    let error_text = |settings| Resolver::new(settings, [0; 32], 0).err().unwrap().to_string();
+    assert_eq!(error_text(Settings { servers: vec![], ..settings() }), "0 servers; name 1 to 8");
     let at = "0.0.0.0:53".parse().unwrap();
     assert_eq!(
-        bad(Settings { servers: vec![at], ..settings() }),
+        error_text(Settings { servers: vec![at], ..settings() }),
         "0.0.0.0:53 is no address that can be asked"
     );
-    assert_eq!(bad(Settings { service: Name::root(), ..settings() }), "the service has no name");
+    assert_eq!(error_text(Settings { service: Name::root(), ..settings() }), "the service has no name");
 }
 
-/// `PROPTEST_CASES` asks for more.
-fn cases(usual: u32) -> u32 {
-    std::env::var("PROPTEST_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+/// Returns the number of cases: `PROPTEST_CASES`, if set, else the default.
+fn cases(default: u32) -> u32 {
+    std::env::var("PROPTEST_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
-fn spoilt() -> impl Strategy<Value = (Vec<(usize, u8)>, usize, Vec<u8>)> {
+fn corruption() -> impl Strategy<Value = (Vec<(usize, u8)>, usize, Vec<u8>)> {
     let changes = proptest::collection::vec((0..400usize, any::<u8>()), 0..12);
     (changes, 0..500usize, proptest::collection::vec(any::<u8>(), 0..64))
 }
@@ -558,35 +582,39 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: cases(4_000), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever bytes come, nothing panics, what is kept stays bounded, no address is outside, and the asking ends.
+    /// Arbitrary bytes cause no panic: the stored data stays bounded, no address is outside the networks, and
+    /// each query ends.
     #[test]
-    fn any_bytes(spoilt in proptest::collection::vec(spoilt(), 1..6)) {
-        let mut r = resolver();
+    fn arbitrary_bytes_are_handled(corruptions in proptest::collection::vec(corruption(), 1..6)) {
+        let mut resolver = new_resolver();
         let mut now = NOW;
-        for (changes, length, tail) in spoilt {
-            for ask in r.asks(now) {
-                let mut bytes = reply(&ask, |m| {
-                    both(m);
-                    m.add_answers([cname(SERVICE, "x.example.org."), cname("x.example.org.", "y.example.org.")]);
-                    m.add_authority(soa(1, 1));
+        for (changes, length, suffix) in corruptions {
+            for query in resolver.asks(now) {
+                let mut bytes = reply(&query, |m| {
+                    add_both_servers(m);
+                    m.add_answers([
+                        cname_record(SERVICE, "x.example.org."),
+                        cname_record("x.example.org.", "y.example.org."),
+                    ]);
+                    m.add_authority(soa_record(1, 1));
                 });
                 bytes.truncate(length.max(12));
-                bytes.extend(&tail);
+                bytes.extend(&suffix);
                 for (at, value) in &changes {
-                    // The id stays, or nothing behind it would be read.
+                    // The id is kept, as otherwise the rest would not be parsed.
                     if let Some(byte) = bytes.get_mut(at + 2) {
                         *byte = *value;
                     }
                 }
-                let _ = ask.question.matches(&bytes);
-                r.heard(now, ask.ticket, &bytes);
-                prop_assert!(r.asks(now).iter().all(|a| a.ticket != ask.ticket));
+                let _ = query.question.matches(&bytes);
+                resolver.heard(now, query.ticket, &bytes);
+                prop_assert!(resolver.asks(now).iter().all(|other| other.ticket != query.ticket));
             }
-            let view = r.view(now);
-            let inside = |ip: IpAddr| matches!(ip, IpAddr::V4(a) if a.octets()[0] == 10);
+            let view = resolver.view(now);
+            let inside = |ip: IpAddr| matches!(ip, IpAddr::V4(ip) if ip.octets()[0] == 10);
             prop_assert!(view.named.iter().all(|n| inside(n.address.ip())));
-            prop_assert!(r.len() <= 1 + 1024 && view.pending <= 1024);
-            now = r.due(now).max(now + 1);
+            prop_assert!(resolver.len() <= 1 + 1024 && view.pending <= 1024);
+            now = resolver.due(now).max(now + 1);
         }
     }
 }
