--- a/crates/mothpier-session/src/commands.rs
+++ b/crates/mothpier-session/src/commands.rs
@@ -1,5 +1,5 @@
-//! What a client is answered as it connects, learns the slot map, or looks round. The pages of the commands are the
-//! source of each answer's form in both versions of the protocol.
+//! Answers the commands that clients send to connect, to learn the slot map and to inspect the node. The
+//! reference pages of the commands define the form of each reply in both protocol versions.
 
 use std::fmt::Write;
 
@@ -7,195 +7,208 @@
 
 use crate::value::{Value, Version};
 
-/// The version of the protocol's server that is told where a client asks for one: what it decides by it (the form of
-/// CLUSTER SLOTS, whether CLUSTER SHARDS is there) is answered as of this version.
-const VERSION: &str = "7.2.0";
-/// The longest name that a connection may give itself, bytes.
-const MOST_NAME: usize = 256;
+/// The Redis version that is reported to clients. Clients choose by it which features they use (the form of
+/// CLUSTER SLOTS, whether CLUSTER SHARDS exists); replies have the form of this version.
+const REPORTED_SERVER_VERSION: &str = "7.2.0";
+/// Maximum length of a connection name.
+const MAX_CLIENT_NAME_BYTES: usize = 256;
 
-fn text(text: impl Into<String>) -> Value {
-    Value::word(text)
+fn bulk_string(content: impl Into<String>) -> Value {
+    Value::bulk_string(content)
 }
 
-/// What a connection has told of itself.
+/// The session state of a connection.
 #[derive(Clone, Debug, Default)]
 pub struct Connection {
-    /// Its number at this node.
+    /// The number of the connection at this node.
     number: u64,
-    /// The name that it gave itself.
+    /// The connection name set by the client.
     name: Vec<u8>,
-    /// The version of the protocol that was settled: answers to what is read from now on are in it.
+    /// The negotiated protocol version, in which replies to later commands are encoded.
     version: Version,
 }
 
 impl Connection {
-    /// A connection that has told nothing yet, by its number at this node.
+    /// Creates the state of a new connection with its number at this node.
     pub fn new(number: u64) -> Self {
         Connection { number, ..Connection::default() }
     }
 
-    /// The version of the protocol that was settled.
+    /// Returns the negotiated protocol version.
     pub fn version(&self) -> Version {
         self.version
     }
 }
 
-/// What a node tells of itself, as of now.
+/// The state of the node that is reported to clients.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Facts<'a> {
-    /// Where slot-aware clients are served: the tier that they are shown.
+pub struct NodeInfo<'a> {
+    /// The tier that is presented to slot-aware clients, if the node serves them.
     pub tier: Option<&'a Tier>,
-    /// Where there are more sources of boxes than the list, and they are asked for: lines of what they say.
+    /// Report lines about the sources of cache servers, if there are other sources than the server list and
+    /// the client requested them.
     pub sources: Option<&'a str>,
-    /// Seconds since its start.
+    /// Time since the node started, in seconds.
     pub uptime_s: u64,
-    /// Client connections that are open.
+    /// Number of open client connections.
     pub clients: u64,
-    /// And that it takes at the most.
-    pub most_clients: u64,
-    /// Connections that clients made since its start.
+    /// Maximum number of client connections.
+    pub max_clients: u64,
+    /// Number of client connections accepted since the start.
     pub connections: u64,
-    /// Commands of clients since its start.
+    /// Number of client commands received since the start.
     pub commands: u64,
-    /// Requests without a final answer.
-    pub open: u64,
+    /// Number of requests without a final answer.
+    pub open_requests: u64,
 }
 
-/// A command that clients may send, as COMMAND tells of it.
-struct Known {
+/// A command as described by COMMAND.
+struct CommandSpec {
     name: &'static str,
-    /// Words with the name; negative for at least so many.
+    /// Number of arguments including the name; negative for a minimum.
     arity: i64,
     flags: &'static [&'static str],
-    /// Places of its keys: first, last, step.
+    /// Positions of the keys: first, last, step.
     keys: (i64, i64, i64),
     summary: &'static str,
 }
 
-const KNOWN: &[Known] = &[
-    Known {
+const COMMANDS: &[CommandSpec] = &[
+    CommandSpec {
         name: "cache.get",
         arity: 4,
         flags: &["readonly"],
         keys: (1, 1, 1),
         summary: "Reads a key: its id and extras behind it",
     },
-    Known {
+    CommandSpec {
         name: "cache.set",
         arity: 5,
         flags: &["write"],
         keys: (1, 1, 1),
         summary: "Writes a key: its id, extras and value behind it",
     },
-    Known {
+    CommandSpec {
         name: "asking",
         arity: 1,
         flags: &["fast"],
         keys: (0, 0, 0),
         summary: "Accepted; every slot is served",
     },
-    Known { name: "auth", arity: -2, flags: &["fast"], keys: (0, 0, 0), summary: "Proves who asks" },
-    Known { name: "client", arity: -2, flags: &[], keys: (0, 0, 0), summary: "Tells of the connection" },
-    Known {
+    CommandSpec { name: "auth", arity: -2, flags: &["fast"], keys: (0, 0, 0), summary: "Proves who asks" },
+    CommandSpec {
+        name: "client",
+        arity: -2,
+        flags: &[],
+        keys: (0, 0, 0),
+        summary: "Tells of the connection",
+    },
+    CommandSpec {
         name: "cluster",
         arity: -2,
         flags: &[],
         keys: (0, 0, 0),
         summary: "Tells of the tier and its slots",
     },
-    Known { name: "command", arity: -1, flags: &[], keys: (0, 0, 0), summary: "Tells of the commands" },
-    Known { name: "echo", arity: 2, flags: &["fast"], keys: (0, 0, 0), summary: "Gives a text back" },
-    Known {
+    CommandSpec { name: "command", arity: -1, flags: &[], keys: (0, 0, 0), summary: "Tells of the commands" },
+    CommandSpec { name: "echo", arity: 2, flags: &["fast"], keys: (0, 0, 0), summary: "Gives a text back" },
+    CommandSpec {
         name: "hello",
         arity: -1,
         flags: &["fast"],
         keys: (0, 0, 0),
         summary: "Settles the protocol: 2 or 3",
     },
-    Known { name: "info", arity: -1, flags: &[], keys: (0, 0, 0), summary: "Tells of the node" },
-    Known {
+    CommandSpec { name: "info", arity: -1, flags: &[], keys: (0, 0, 0), summary: "Tells of the node" },
+    CommandSpec {
         name: "ping",
         arity: -1,
         flags: &["fast"],
         keys: (0, 0, 0),
         summary: "Whether the node is ready",
     },
-    Known { name: "quit", arity: -1, flags: &["fast"], keys: (0, 0, 0), summary: "Ends the connection" },
-    Known {
+    CommandSpec {
+        name: "quit",
+        arity: -1,
+        flags: &["fast"],
+        keys: (0, 0, 0),
+        summary: "Ends the connection",
+    },
+    CommandSpec {
         name: "reset",
         arity: 1,
         flags: &["fast"],
         keys: (0, 0, 0),
         summary: "Makes the connection what it was at its start",
     },
-    Known { name: "readonly", arity: 1, flags: &["fast"], keys: (0, 0, 0), summary: "Accepted" },
-    Known { name: "readwrite", arity: 1, flags: &["fast"], keys: (0, 0, 0), summary: "Accepted" },
-    Known { name: "select", arity: 2, flags: &["fast"], keys: (0, 0, 0), summary: "Only 0 is there" },
+    CommandSpec { name: "readonly", arity: 1, flags: &["fast"], keys: (0, 0, 0), summary: "Accepted" },
+    CommandSpec { name: "readwrite", arity: 1, flags: &["fast"], keys: (0, 0, 0), summary: "Accepted" },
+    CommandSpec { name: "select", arity: 2, flags: &["fast"], keys: (0, 0, 0), summary: "Only 0 is there" },
 ];
 
-/// The answer to a command; `None` for one that is none of these (requests, `PING` without a text and `QUIT` are the
-/// node's own). The answer is in the version that the connection has behind it: `HELLO` itself is answered in the one
-/// that it settles.
-pub fn answer(words: &[&[u8]], facts: &Facts<'_>, connection: &mut Connection) -> Option<Value> {
-    let (name, rest) = words.split_first()?;
-    // No name that is known is longer.
+/// Returns the reply to a command; `None` for one that is not handled here (requests, `PING` without an
+/// argument and `QUIT` are handled by the node). The reply must be encoded in the version that the connection
+/// has afterwards: `HELLO` itself is answered in the version that it negotiates.
+pub fn answer(arguments: &[&[u8]], node_info: &NodeInfo<'_>, connection: &mut Connection) -> Option<Value> {
+    let (name, rest) = arguments.split_first()?;
+    // No known command has a longer name.
     if name.len() > 16 {
         return None;
     }
     let name = String::from_utf8_lossy(name).to_ascii_lowercase();
     Some(match (name.as_str(), rest) {
-        ("cluster", []) | ("client", []) => arity(&name),
-        ("cluster", [sub, rest @ ..]) => match facts.tier {
-            Some(tier) => cluster(&lower(sub), rest, tier),
-            None => no_cluster(),
+        ("cluster", []) | ("client", []) => arity_error(&name),
+        ("cluster", [sub, rest @ ..]) => match node_info.tier {
+            Some(tier) => cluster(&printable_lowercase(sub), rest, tier),
+            None => cluster_disabled_error(),
         },
-        ("client", [sub, rest @ ..]) => client(&lower(sub), rest, connection),
-        ("command", []) => Value::Array(KNOWN.iter().map(about).collect()),
-        ("command", [sub, rest @ ..]) => command(&lower(sub), rest),
-        ("hello", rest) => hello(rest, facts, connection),
+        ("client", [sub, rest @ ..]) => client(&printable_lowercase(sub), rest, connection),
+        ("command", []) => Value::Array(COMMANDS.iter().map(command_info).collect()),
+        ("command", [sub, rest @ ..]) => command(&printable_lowercase(sub), rest),
+        ("hello", rest) => hello(rest, node_info, connection),
         ("reset", []) => {
             *connection = Connection::new(connection.number);
             Value::Simple("RESET")
         }
-        ("auth", [_] | [_, _]) => no_secret(),
-        ("readonly" | "readwrite" | "asking", []) if facts.tier.is_none() => no_cluster(),
+        ("auth", [_] | [_, _]) => no_password_error(),
+        ("readonly" | "readwrite" | "asking", []) if node_info.tier.is_none() => cluster_disabled_error(),
         ("readonly" | "readwrite" | "asking", []) => Value::Simple("OK"),
-        ("ping", [text]) => Value::Bulk(text.to_vec()),
-        ("ping", [_, _, ..]) => arity(&name),
-        ("echo", [text]) => Value::Bulk(text.to_vec()),
+        ("ping", [message]) => Value::Bulk(message.to_vec()),
+        ("ping", [_, _, ..]) => arity_error(&name),
+        ("echo", [message]) => Value::Bulk(message.to_vec()),
         ("select", [b"0"]) => Value::Simple("OK"),
-        ("select", [_]) if facts.tier.is_some() => {
+        ("select", [_]) if node_info.tier.is_some() => {
             Value::Error("ERR SELECT is not allowed in cluster mode".into())
         }
         ("select", [_]) => Value::Error("ERR DB index is out of range".into()),
-        ("info", sections) => info(sections, facts),
-        ("readonly" | "readwrite" | "asking" | "echo" | "select" | "reset" | "auth", _) => arity(&name),
+        ("info", sections) => info(sections, node_info),
+        ("readonly" | "readwrite" | "asking" | "echo" | "select" | "reset" | "auth", _) => arity_error(&name),
         _ => return None,
     })
 }
 
-/// As servers say it that form no cluster.
-fn no_cluster() -> Value {
+/// Returns the error of servers without cluster support.
+fn cluster_disabled_error() -> Value {
     Value::Error("ERR This instance has cluster support disabled".into())
 }
 
-fn no_secret() -> Value {
-    let said = "ERR AUTH called without any password configured for the default user: leave it out";
-    Value::Error(said.into())
+fn no_password_error() -> Value {
+    let message = "ERR AUTH called without any password configured for the default user: leave it out";
+    Value::Error(message.into())
 }
 
-fn lower(word: &[u8]) -> String {
-    // Only for names; what an error gives back of it is kept short and printable.
-    let shown = String::from_utf8_lossy(&word[..word.len().min(64)]).to_ascii_lowercase();
+fn printable_lowercase(name: &[u8]) -> String {
+    // Used for names only. Error replies quote them, so they are truncated and made printable.
+    let shown = String::from_utf8_lossy(&name[..name.len().min(64)]).to_ascii_lowercase();
     shown.chars().map(|c| if c.is_ascii_graphic() { c } else { '?' }).collect()
 }
 
-fn arity(name: &str) -> Value {
+fn arity_error(name: &str) -> Value {
     Value::Error(format!("ERR wrong number of arguments for '{name}' command"))
 }
 
-fn unknown(sub: &str, of: &str) -> Value {
-    Value::Error(format!("ERR unknown subcommand '{sub}'. Try {of} HELP."))
+fn unknown_subcommand_error(sub: &str, command: &str) -> Value {
+    Value::Error(format!("ERR unknown subcommand '{sub}'. Try {command} HELP."))
 }
 
 fn cluster(sub: &str, rest: &[&[u8]], tier: &Tier) -> Value {
@@ -205,21 +218,21 @@
                 .into_iter()
                 .map(|(range, owner)| {
                     let bounds = [range.start(), range.end()].map(|s| Value::Number(i64::from(*s)));
-                    Value::Array(bounds.into_iter().chain([place(tier, owner)]).collect())
+                    Value::Array(bounds.into_iter().chain([slots_entry(tier, owner)]).collect())
                 })
                 .collect(),
         ),
-        ("shards", []) => {
-            Value::Array((0..tier.len()).filter(|n| owns(tier, *n)).map(|n| shard(tier, n)).collect())
-        }
+        ("shards", []) => Value::Array(
+            (0..tier.len()).filter(|node| owns_slots(tier, *node)).map(|node| shard(tier, node)).collect(),
+        ),
         ("nodes", []) => Value::Text(nodes(tier)),
         ("info", []) => Value::Text(cluster_info(tier)),
-        ("myid", []) => text(tier.id(tier.me())),
+        ("myid", []) => bulk_string(tier.id(tier.own_index())),
         ("keyslot", [key]) => Value::Number(i64::from(slot_of(key))),
         ("countkeysinslot", [slot]) => {
             let slot = std::str::from_utf8(slot).ok().and_then(|s| s.parse::<i64>().ok());
             match slot {
-                // The node keeps no keys.
+                // The node stores no keys.
                 Some(0..=16_383) => Value::Number(0),
                 Some(_) => Value::Error("ERR Invalid slot".into()),
                 None => Value::Error("ERR value is not an integer or out of range".into()),
@@ -240,51 +253,57 @@
             .to_vec(),
         ),
         ("slots" | "shards" | "nodes" | "info" | "myid" | "keyslot" | "countkeysinslot" | "help", _) => {
-            arity(&format!("cluster|{sub}"))
+            arity_error(&format!("cluster|{sub}"))
         }
-        _ => unknown(sub, "CLUSTER"),
+        _ => unknown_subcommand_error(sub, "CLUSTER"),
     }
 }
 
-fn owns(tier: &Tier, node: usize) -> bool {
+fn owns_slots(tier: &Tier, node: usize) -> bool {
     tier.ranges().iter().any(|(_, owner)| *owner == node)
 }
 
-/// A node as CLUSTER SLOTS names it: address, port, id, and no further names.
-fn place(tier: &Tier, node: usize) -> Value {
-    let at = tier.address(node);
-    let port = Value::Number(i64::from(at.port()));
-    Value::Array(vec![text(at.ip().to_string()), port, text(tier.id(node)), Value::Map(Vec::new())])
+/// Returns a node as listed by CLUSTER SLOTS: address, port, id, and no further names.
+fn slots_entry(tier: &Tier, node: usize) -> Value {
+    let address = tier.address(node);
+    let port = Value::Number(i64::from(address.port()));
+    Value::Array(vec![
+        bulk_string(address.ip().to_string()),
+        port,
+        bulk_string(tier.id(node)),
+        Value::Map(Vec::new()),
+    ])
 }
 
 fn shard(tier: &Tier, node: usize) -> Value {
     let ranges = tier.ranges();
-    let bounds = ranges.iter().filter(|(_, o)| *o == node).flat_map(|(r, _)| [*r.start(), *r.end()]);
-    let at = tier.address(node);
-    let ip = at.ip().to_string();
+    let bounds =
+        ranges.iter().filter(|(_, slot_owner)| *slot_owner == node).flat_map(|(r, _)| [*r.start(), *r.end()]);
+    let address = tier.address(node);
+    let ip = address.ip().to_string();
     let fields = Value::map([
-        ("id", text(tier.id(node))),
-        ("port", Value::Number(i64::from(at.port()))),
-        ("ip", text(ip.clone())),
-        ("endpoint", text(ip)),
-        ("role", text("master")),
+        ("id", bulk_string(tier.id(node))),
+        ("port", Value::Number(i64::from(address.port()))),
+        ("ip", bulk_string(ip.clone())),
+        ("endpoint", bulk_string(ip)),
+        ("role", bulk_string("master")),
         ("replication-offset", Value::Number(0)),
-        ("health", text("online")),
+        ("health", bulk_string("online")),
     ]);
     let slots = bounds.map(|s| Value::Number(i64::from(s))).collect();
     Value::map([("slots", Value::Array(slots)), ("nodes", Value::Array(vec![fields]))])
 }
 
-/// Lines of "CLUSTER NODES output format": id, address with the bus's port (there is none: 0), flags, master, ping,
-/// pong, epoch, link, ranges.
+/// Returns the lines of "CLUSTER NODES output format": id, address with the cluster bus port (0, as there is
+/// none), flags, master, ping, pong, epoch, link state, ranges.
 fn nodes(tier: &Tier) -> String {
     let (mut lines, ranges, epoch) = (String::new(), tier.ranges(), tier.epoch());
     for node in 0..tier.len() {
-        let me = if node == tier.me() { "myself," } else { "" };
+        let me_flag = if node == tier.own_index() { "myself," } else { "" };
         let (failed, link) = if tier.up(node) { ("", "connected") } else { (",fail", "disconnected") };
         let _ = write!(
             lines,
-            "{} {}@0 {me}master{failed} - 0 0 {epoch} {link}",
+            "{} {}@0 {me_flag}master{failed} - 0 0 {epoch} {link}",
             tier.id(node),
             tier.address(node)
         );
@@ -300,7 +319,7 @@
 }
 
 fn cluster_info(tier: &Tier) -> String {
-    let owners = (0..tier.len()).filter(|n| owns(tier, *n)).count();
+    let owners = (0..tier.len()).filter(|node| owns_slots(tier, *node)).count();
     format!(
         "cluster_enabled:1\r\ncluster_state:ok\r\ncluster_slots_assigned:{SLOTS}\r\ncluster_slots_ok:{SLOTS}\r\n\
          cluster_slots_pfail:0\r\ncluster_slots_fail:0\r\ncluster_known_nodes:{}\r\ncluster_size:{owners}\r\n\
@@ -311,12 +330,14 @@
     )
 }
 
-/// The sections that were asked for, in their own order; all of them where none was. One that is not there is empty.
-fn info(sections: &[&[u8]], facts: &Facts<'_>) -> Value {
-    let Facts { tier, sources, uptime_s, clients, most_clients, connections, commands, open } = facts;
+/// Returns the requested sections in a fixed order, or all of them if none is named. Unknown sections are
+/// empty.
+fn info(sections: &[&[u8]], node_info: &NodeInfo<'_>) -> Value {
+    let NodeInfo { tier, sources, uptime_s, clients, max_clients, connections, commands, open_requests } =
+        node_info;
     let wanted = |name: &str| {
         let all = |s: &str| matches!(s, "all" | "default" | "everything");
-        sections.is_empty() || sections.iter().map(|s| lower(s)).any(|s| s == name || all(&s))
+        sections.is_empty() || sections.iter().map(|s| printable_lowercase(s)).any(|s| s == name || all(&s))
     };
     let mode = if tier.is_some() { "cluster" } else { "standalone" };
     let mut out = String::new();
@@ -329,19 +350,19 @@
     section(
         "Server",
         format!(
-            "redis_version:{VERSION}\r\nredis_mode:{mode}\r\nserver_name:mothpier\r\nmothpier_version:{}\r\nuptime_in_seconds:{uptime_s}\r\n",
+            "redis_version:{REPORTED_SERVER_VERSION}\r\nredis_mode:{mode}\r\nserver_name:mothpier\r\nmothpier_version:{}\r\nuptime_in_seconds:{uptime_s}\r\n",
             env!("CARGO_PKG_VERSION")
         ),
     );
-    section("Clients", format!("connected_clients:{clients}\r\nmaxclients:{most_clients}\r\n"));
+    section("Clients", format!("connected_clients:{clients}\r\nmaxclients:{max_clients}\r\n"));
     section(
         "Stats",
         format!(
-            "total_connections_received:{connections}\r\ntotal_commands_processed:{commands}\r\nmothpier_open_requests:{open}\r\n"
+            "total_connections_received:{connections}\r\ntotal_commands_processed:{commands}\r\nmothpier_open_requests:{open_requests}\r\n"
         ),
     );
     section("Replication", "role:master\r\nconnected_slaves:0\r\n".into());
-    let node = tier.map(|t| format!("mothpier_node:{}\r\n", t.me())).unwrap_or_default();
+    let node = tier.map(|t| format!("mothpier_node:{}\r\n", t.own_index())).unwrap_or_default();
     section("Cluster", format!("cluster_enabled:{}\r\n{node}", u8::from(tier.is_some())));
     if let Some(sources) = sources {
         section("Sources", (*sources).to_owned());
@@ -371,70 +392,74 @@
                 .collect(),
         ),
         ("id", []) => Value::Number(connection.number as i64),
-        ("setinfo", [what, _]) if matches!(lower(what).as_str(), "lib-name" | "lib-ver") => {
+        ("setinfo", [what, _]) if matches!(printable_lowercase(what).as_str(), "lib-name" | "lib-ver") => {
             Value::Simple("OK")
         }
         ("setinfo", [_, _]) => Value::Error("ERR Unrecognized option".into()),
-        ("no-evict" | "no-touch", [state]) if matches!(lower(state).as_str(), "on" | "off") => {
+        ("no-evict" | "no-touch", [state]) if matches!(printable_lowercase(state).as_str(), "on" | "off") => {
             Value::Simple("OK")
         }
         ("no-evict" | "no-touch", [_]) => Value::Error("ERR syntax error".into()),
         ("setname" | "getname" | "id" | "info" | "help" | "setinfo" | "no-evict" | "no-touch", _) => {
-            arity(&format!("client|{sub}"))
+            arity_error(&format!("client|{sub}"))
         }
-        _ => unknown(sub, "CLIENT"),
+        _ => unknown_subcommand_error(sub, "CLIENT"),
     }
 }
 
 fn set_name(name: &[u8], connection: &mut Connection) -> Result<(), Value> {
-    // The page of CLIENT SETNAME: no spaces, line ends or other characters that break CLIENT LIST.
-    if name.len() > MOST_NAME || !name.iter().all(u8::is_ascii_graphic) {
-        let said = "ERR Client names cannot contain spaces, newlines or special characters.";
-        return Err(Value::Error(said.into()));
+    // The reference page of CLIENT SETNAME excludes spaces, line ends and other characters that break CLIENT
+    // LIST.
+    if name.len() > MAX_CLIENT_NAME_BYTES || !name.iter().all(u8::is_ascii_graphic) {
+        let message = "ERR Client names cannot contain spaces, newlines or special characters.";
+        return Err(Value::Error(message.into()));
     }
     connection.name = name.to_vec();
     Ok(())
 }
 
 fn command(sub: &str, rest: &[&[u8]]) -> Value {
-    let find = |name: &&[u8]| KNOWN.iter().find(|k| k.name == lower(name));
+    let find = |name: &&[u8]| COMMANDS.iter().find(|spec| spec.name == printable_lowercase(name));
     match (sub, rest) {
-        ("count", []) => Value::Number(KNOWN.len() as i64),
-        ("list", []) => Value::Array(KNOWN.iter().map(|k| text(k.name)).collect()),
-        ("info", []) => Value::Array(KNOWN.iter().map(about).collect()),
+        ("count", []) => Value::Number(COMMANDS.len() as i64),
+        ("list", []) => Value::Array(COMMANDS.iter().map(|spec| bulk_string(spec.name)).collect()),
+        ("info", []) => Value::Array(COMMANDS.iter().map(command_info).collect()),
         ("info", names) => {
-            Value::Array(names.iter().map(|n| find(n).map_or(Value::NullArray, about)).collect())
+            Value::Array(names.iter().map(|name| find(name).map_or(Value::NullArray, command_info)).collect())
         }
         ("docs", names) => {
-            let all = KNOWN.iter().filter(|k| names.is_empty() || names.iter().any(|n| lower(n) == k.name));
-            Value::Map(all.map(|k| (text(k.name), docs(k))).collect())
+            let all = COMMANDS.iter().filter(|spec| {
+                names.is_empty() || names.iter().any(|name| printable_lowercase(name) == spec.name)
+            });
+            Value::Map(all.map(|spec| (bulk_string(spec.name), command_docs(spec))).collect())
         }
         ("getkeys", [name, rest @ ..]) => match find(name) {
-            Some(k) if k.keys.0 > 0 && rest.len() as i64 + 1 == k.arity => {
+            Some(spec) if spec.keys.0 > 0 && rest.len() as i64 + 1 == spec.arity => {
                 Value::Array(vec![Value::Bulk(rest[0].to_vec())])
             }
-            Some(k) if k.keys.0 > 0 => {
+            Some(spec) if spec.keys.0 > 0 => {
                 Value::Error("ERR Invalid number of arguments specified for command".into())
             }
             Some(_) => Value::Error("ERR The command has no key arguments".into()),
             None => Value::Error("ERR Invalid command specified".into()),
         },
-        ("count" | "list" | "getkeys", _) => arity(&format!("command|{sub}")),
-        _ => unknown(sub, "COMMAND"),
+        ("count" | "list" | "getkeys", _) => arity_error(&format!("command|{sub}")),
+        _ => unknown_subcommand_error(sub, "COMMAND"),
     }
 }
 
-/// One command as COMMAND tells of it: ten parts since version 7, of which the last four are empty here.
-fn about(k: &Known) -> Value {
-    let flags = k.flags.iter().map(|f| Value::Simple(f)).collect();
+/// Returns the description of a command by COMMAND: ten elements since version 7, of which the last four are
+/// empty here.
+fn command_info(spec: &CommandSpec) -> Value {
+    let flags = spec.flags.iter().map(|f| Value::Simple(f)).collect();
     let empty = || Value::Array(Vec::new());
     let parts = [
-        text(k.name),
-        Value::Number(k.arity),
+        bulk_string(spec.name),
+        Value::Number(spec.arity),
         Value::Set(flags),
-        Value::Number(k.keys.0),
-        Value::Number(k.keys.1),
-        Value::Number(k.keys.2),
+        Value::Number(spec.keys.0),
+        Value::Number(spec.keys.1),
+        Value::Number(spec.keys.2),
         empty(),
         empty(),
         empty(),
@@ -443,15 +468,19 @@
     Value::Array(parts.to_vec())
 }
 
-fn docs(k: &Known) -> Value {
-    Value::map([("summary", text(k.summary)), ("since", text("1.0.0")), ("group", text("generic"))])
+fn command_docs(spec: &CommandSpec) -> Value {
+    Value::map([
+        ("summary", bulk_string(spec.summary)),
+        ("since", bulk_string("1.0.0")),
+        ("group", bulk_string("generic")),
+    ])
 }
 
-/// The page of HELLO: what it asks for is settled whole or, at an error, not at all.
-fn hello(rest: &[&[u8]], facts: &Facts<'_>, connection: &mut Connection) -> Value {
-    let (mut rest, mut settled) = (rest, connection.clone());
+/// Handles HELLO as its reference page defines it: all options are applied, or none if there is an error.
+fn hello(rest: &[&[u8]], node_info: &NodeInfo<'_>, connection: &mut Connection) -> Value {
+    let (mut rest, mut updated) = (rest, connection.clone());
     if let [version, more @ ..] = rest {
-        settled.version = match std::str::from_utf8(version).ok().and_then(|v| v.parse::<u64>().ok()) {
+        updated.version = match std::str::from_utf8(version).ok().and_then(|v| v.parse::<u64>().ok()) {
             Some(2) => Version::Two,
             Some(3) => Version::Three,
             Some(_) => return Value::Error("NOPROTO unsupported protocol version".into()),
@@ -460,25 +489,25 @@
         rest = more;
     }
     while let [option, more @ ..] = rest {
-        match (lower(option).as_str(), more) {
+        match (printable_lowercase(option).as_str(), more) {
             ("setname", [name, more @ ..]) => {
-                if let Err(e) = set_name(name, &mut settled) {
+                if let Err(e) = set_name(name, &mut updated) {
                     return e;
                 }
                 rest = more;
             }
-            ("auth", [_, _, ..]) => return no_secret(),
+            ("auth", [_, _, ..]) => return no_password_error(),
             (option, _) => return Value::Error(format!("ERR Syntax error in HELLO option '{option}'")),
         }
     }
-    *connection = settled;
+    *connection = updated;
     Value::map([
-        ("server", text("mothpier")),
-        ("version", text(VERSION)),
+        ("server", bulk_string("mothpier")),
+        ("version", bulk_string(REPORTED_SERVER_VERSION)),
         ("proto", Value::Number(connection.version.number())),
         ("id", Value::Number(connection.number as i64)),
-        ("mode", text(if facts.tier.is_some() { "cluster" } else { "standalone" })),
-        ("role", text("master")),
+        ("mode", bulk_string(if node_info.tier.is_some() { "cluster" } else { "standalone" })),
+        ("role", bulk_string("master")),
         ("modules", Value::Array(Vec::new())),
     ])
 }
--- a/crates/mothpier-session/src/lib.rs
+++ b/crates/mothpier-session/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a client's connection is, and what it asks besides requests, without I/O: the version of the protocol that was
-//! settled ([`value`]), and the commands that libraries send as they connect or that people type ([`commands`]).
+//! The session of a client connection without I/O: the negotiated protocol version ([`value`]), and the
+//! commands that client libraries send when they connect or that people type ([`commands`]).
 
 pub mod commands;
 pub mod value;
 
-pub use commands::{Connection, Facts};
+pub use commands::{Connection, NodeInfo};
 pub use value::{Value, Version};
--- a/crates/mothpier-session/src/value.rs
+++ b/crates/mothpier-session/src/value.rs
@@ -1,14 +1,14 @@
-//! An answer and its bytes in both versions of the protocol: RESP2 (the Redis serialization protocol specification) and
-//! RESP3 (the same, "RESP versions"). One value has one meaning: what RESP2 has no form for takes the form that servers
-//! give it there.
+//! Replies and their encoding in both protocol versions: RESP2 (Redis serialization protocol specification)
+//! and RESP3 (the same, "RESP versions"). A value has the same meaning in both; what RESP2 has no form for is
+//! encoded as Redis servers do it there.
 //!
-//! Written here and not by the codec that reads: its maps and sets have an order drawn at random, and equal runs must
-//! give equal bytes. The tests read every answer with that codec.
+//! The replies are not encoded with the codec that parses commands: its maps and sets have a random order,
+//! and equal runs must produce equal bytes. The tests parse every reply with that codec.
 
-/// A version of the protocol, settled by `HELLO`.
+/// A protocol version, negotiated by `HELLO`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Version {
-    /// RESP2, with which every connection begins.
+    /// RESP2, the initial version of every connection.
     #[default]
     Two,
     /// RESP3.
@@ -16,7 +16,7 @@
 }
 
 impl Version {
-    /// Its number in `HELLO`.
+    /// Returns the number used in `HELLO`.
     pub fn number(self) -> i64 {
         match self {
             Version::Two => 2,
@@ -25,107 +25,107 @@
     }
 }
 
-/// An answer.
+/// A reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// A simple string.
     Simple(&'static str),
-    /// An error line, without its dash; it must hold no line end.
+    /// An error line without its leading dash; must not contain a line end.
     Error(String),
-    /// A number.
+    /// An integer.
     Number(i64),
     /// A floating-point number; in RESP2 a bulk string.
     Double(f64),
-    /// True or false; in RESP2 1 or 0.
+    /// A boolean; in RESP2 the integer 1 or 0.
     Boolean(bool),
     /// A bulk string.
     Bulk(Vec<u8>),
-    /// Text for people; in RESP2 a bulk string.
+    /// Text for people (a verbatim string); in RESP2 a bulk string.
     Text(String),
-    /// Nothing; in RESP2 the null bulk string.
+    /// Null; in RESP2 the null bulk string.
     Null,
-    /// Nothing where an array would stand; in RESP2 the null array.
+    /// Null in place of an array; in RESP2 the null array.
     NullArray,
     /// An array.
     Array(Vec<Value>),
-    /// Things of which none comes twice; in RESP2 an array.
+    /// A set; in RESP2 an array.
     Set(Vec<Value>),
-    /// Names and values; in RESP2 a flat array.
+    /// A map; in RESP2 a flat array of keys and values.
     Map(Vec<(Value, Value)>),
 }
 
 impl Value {
-    /// A bulk string of a text.
-    pub fn word(text: impl Into<String>) -> Value {
+    /// Creates a bulk string from a text.
+    pub fn bulk_string(text: impl Into<String>) -> Value {
         Value::Bulk(text.into().into_bytes())
     }
 
-    /// A map with words for names.
+    /// Creates a map with bulk strings as keys.
     pub fn map<const N: usize>(fields: [(&str, Value); N]) -> Value {
-        Value::Map(fields.into_iter().map(|(name, value)| (Value::word(name), value)).collect())
+        Value::Map(fields.into_iter().map(|(name, value)| (Value::bulk_string(name), value)).collect())
     }
 
-    /// Its bytes.
+    /// Returns the encoded reply.
     pub fn encode(&self, version: Version) -> Vec<u8> {
         let mut out = Vec::new();
-        self.put(version, &mut out);
+        self.encode_into(version, &mut out);
         out
     }
 
-    fn put(&self, version: Version, out: &mut Vec<u8>) {
-        let three = version == Version::Three;
+    fn encode_into(&self, version: Version, out: &mut Vec<u8>) {
+        let is_resp3 = version == Version::Three;
         match self {
-            Value::Simple(s) => line(out, '+', s),
-            Value::Error(s) => line(out, '-', s),
-            Value::Number(n) => line(out, ':', &n.to_string()),
-            Value::Double(d) if three => line(out, ',', &double(*d)),
-            Value::Double(d) => bulk(out, double(*d).as_bytes()),
-            Value::Boolean(b) if three => line(out, '#', if *b { "t" } else { "f" }),
-            Value::Boolean(b) => line(out, ':', if *b { "1" } else { "0" }),
-            Value::Bulk(b) => bulk(out, b),
-            Value::Text(t) if three => {
-                // Three letters of a form and a colon count as part of it.
-                line(out, '=', &(t.len() + 4).to_string());
+            Value::Simple(text) => write_line(out, '+', text),
+            Value::Error(text) => write_line(out, '-', text),
+            Value::Number(number) => write_line(out, ':', &number.to_string()),
+            Value::Double(number) if is_resp3 => write_line(out, ',', &format_double(*number)),
+            Value::Double(number) => write_bulk(out, format_double(*number).as_bytes()),
+            Value::Boolean(boolean) if is_resp3 => write_line(out, '#', if *boolean { "t" } else { "f" }),
+            Value::Boolean(boolean) => write_line(out, ':', if *boolean { "1" } else { "0" }),
+            Value::Bulk(bytes) => write_bulk(out, bytes),
+            Value::Text(text) if is_resp3 => {
+                // The length includes the format of three letters and a colon.
+                write_line(out, '=', &(text.len() + 4).to_string());
                 out.extend(b"txt:");
-                out.extend(t.as_bytes());
+                out.extend(text.as_bytes());
                 out.extend(b"\r\n");
             }
-            Value::Text(t) => bulk(out, t.as_bytes()),
-            Value::Null | Value::NullArray if three => out.extend(b"_\r\n"),
+            Value::Text(text) => write_bulk(out, text.as_bytes()),
+            Value::Null | Value::NullArray if is_resp3 => out.extend(b"_\r\n"),
             Value::Null => out.extend(b"$-1\r\n"),
             Value::NullArray => out.extend(b"*-1\r\n"),
-            Value::Array(values) => all(out, '*', values, version),
-            Value::Set(values) => all(out, if three { '~' } else { '*' }, values, version),
+            Value::Array(values) => write_aggregate(out, '*', values, version),
+            Value::Set(values) => write_aggregate(out, if is_resp3 { '~' } else { '*' }, values, version),
             Value::Map(fields) => {
-                let (kind, count) = if three { ('%', fields.len()) } else { ('*', fields.len() * 2) };
-                line(out, kind, &count.to_string());
+                let (kind, count) = if is_resp3 { ('%', fields.len()) } else { ('*', fields.len() * 2) };
+                write_line(out, kind, &count.to_string());
                 for (name, value) in fields {
-                    name.put(version, out);
-                    value.put(version, out);
+                    name.encode_into(version, out);
+                    value.encode_into(version, out);
                 }
             }
         }
     }
 }
 
-fn line(out: &mut Vec<u8>, kind: char, text: &str) {
+fn write_line(out: &mut Vec<u8>, kind: char, text: &str) {
     out.extend(format!("{kind}{text}\r\n").bytes());
 }
 
-fn bulk(out: &mut Vec<u8>, bytes: &[u8]) {
-    line(out, '$', &bytes.len().to_string());
+fn write_bulk(out: &mut Vec<u8>, bytes: &[u8]) {
+    write_line(out, '$', &bytes.len().to_string());
     out.extend(bytes);
     out.extend(b"\r\n");
 }
 
-fn all(out: &mut Vec<u8>, kind: char, values: &[Value], version: Version) {
-    line(out, kind, &values.len().to_string());
-    values.iter().for_each(|v| v.put(version, out));
+fn write_aggregate(out: &mut Vec<u8>, kind: char, values: &[Value], version: Version) {
+    write_line(out, kind, &values.len().to_string());
+    values.iter().for_each(|v| v.encode_into(version, out));
 }
 
-/// As the protocol writes them: `inf`, `-inf`, `nan`.
-fn double(d: f64) -> String {
-    if d.is_nan() { "nan".into() } else { d.to_string() }
+/// Formats a number as the protocol does, including `inf`, `-inf` and `nan`.
+fn format_double(number: f64) -> String {
+    if number.is_nan() { "nan".into() } else { number.to_string() }
 }
 
 #[cfg(test)]
--- a/crates/mothpier/src/clients/commands.rs
+++ b/crates/mothpier/src/clients/commands.rs
@@ -3,7 +3,7 @@
 use brassrouter::{Micros, Request};
 use bytes::{Buf, Bytes, BytesMut};
 use mothpier_net::Net;
-use mothpier_session::{Facts, commands};
+use mothpier_session::{NodeInfo, commands};
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::sync::oneshot;
 
@@ -78,17 +78,17 @@
         let wants_sources = arguments.first().is_some_and(|w| w.eq_ignore_ascii_case(b"INFO"))
             && arguments[1..].iter().any(|w| w.eq_ignore_ascii_case(b"SOURCES"));
         let sources = clients.membership.as_ref().filter(|_| wants_sources).map(Membership::text);
-        let facts = Facts {
+        let node_info = NodeInfo {
             sources: sources.as_deref(),
             tier: tier.as_deref(),
             uptime_s: clients.net.since(clients.started_at).as_secs(),
             clients: clients.count() as u64,
-            most_clients: clients.max_connections() as u64,
+            max_clients: clients.max_connections() as u64,
             connections: clients.connections_accepted.get(),
             commands: clients.commands_received.get(),
-            open: clients.ids() as u64,
+            open_requests: clients.ids() as u64,
         };
-        let Some(value) = commands::answer(&arguments, &facts, &mut self.connection_state) else {
+        let Some(value) = commands::answer(&arguments, &node_info, &mut self.connection_state) else {
             return false;
         };
         self.has_sent_command = true;
