--- a/crates/mothpier-config/src/app.rs
+++ b/crates/mothpier-config/src/app.rs
@@ -1,53 +1,53 @@
-//! What a configuration says, whichever form it was written in: an application's own file, or what a node is started
-//! with. Every setting keeps the place that it was read from.
+//! The configuration model, shared by both kinds of file: an application's own file and the file that a node is started
+//! with. Also reads an application's file. Every setting keeps the position that it was read from.
 
 use std::time::Duration;
 
+use crate::block::{self, Block};
 use crate::code;
+use crate::endpoint::{Endpoint, Hosts};
 use crate::finding::Finding;
-use crate::place::{Hosts, Place};
-use crate::take::{self, Block};
-use crate::tree::{At, Node, Span};
-
-/// The port of cache boxes where none is told.
-pub const BOX_PORT: u16 = 6379;
-/// No time in a configuration is longer.
-const LONGEST: Duration = Duration::from_secs(24 * 3600);
-/// The extent of a fleet that the checks and plans reckon with.
-pub const MOST_NODES: u64 = 10_000;
-/// Part of the requests that may be tried again, where nothing is said: the decision module's own.
-pub const BUDGET: f64 = 0.2;
-/// A deadline beyond this is no cache request's.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(60);
-
-/// Which form a configuration was written in.
+use crate::tree::{Span, Spanned, TreeNode};
+
+/// Default port of cache servers.
+pub const DEFAULT_SERVER_PORT: u16 = 6379;
+/// Longest duration that a setting accepts.
+const MAX_DURATION: Duration = Duration::from_secs(24 * 3600);
+/// Largest number of nodes in a fleet.
+pub const MAX_NODES: u64 = 10_000;
+/// Default share of requests that may be retried; the same as the policy's default.
+pub const DEFAULT_RETRY_BUDGET: f64 = 0.2;
+/// Longest deadline of a class; cache requests never take longer.
+const MAX_DEADLINE: Duration = Duration::from_secs(60);
+
+/// The kind of a configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// An application's: HCL or TOML.
+pub enum FileKind {
+    /// An application's file: HCL or TOML.
     Application,
-    /// What a node is started with: JSON.
+    /// The file that a node is started with: JSON.
     Node,
 }
 
-/// What a request of a class does.
+/// The side effect of a class's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it may be repeated.
+    /// No side effect: a request may be repeated.
     Safe,
-    /// Something, which is dropped when it is repeated with its key.
+    /// A side effect with a key: a repeat with the same key is dropped.
     Keyed,
-    /// Something that is done once more when it is repeated.
+    /// A side effect that a repeat would cause again.
     Unsafe,
 }
 
-/// The words for effects.
+/// Keywords for effects.
 pub const EFFECTS: [(&str, Effect); 3] =
     [("safe", Effect::Safe), ("keyed", Effect::Keyed), ("unsafe", Effect::Unsafe)];
 
-/// Which boxes drop a repeat.
+/// Which cache servers drop a repeat of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All.
+    /// All cache servers.
     All,
     /// Those of one zone.
     Zone,
@@ -55,10 +55,10 @@
     Cell,
 }
 
-/// The words for scopes.
+/// Keywords for scopes.
 pub const SCOPES: [(&str, Scope); 3] = [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Cell)];
 
-/// How an application sends a class.
+/// The command with which an application sends a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Command {
     /// `CACHE.GET`.
@@ -67,362 +67,367 @@
     Write,
 }
 
-/// The words for commands.
+/// Keywords for commands.
 pub const COMMANDS: [(&str, Command); 2] = [("read", Command::Read), ("write", Command::Write)];
 
-/// Whether a box takes requests.
+/// The state of a cache server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// Takes requests.
     Ready,
-    /// It ends what it has.
+    /// Finishes its open requests and takes no new ones.
     Draining,
-    /// It is no more.
+    /// No longer exists.
     Gone,
 }
 
-/// The words for states.
+/// Keywords for states.
 pub const STATES: [(&str, State); 3] =
     [("ready", State::Ready), ("draining", State::Draining), ("gone", State::Gone)];
 
-/// What a sidecar hands its requests on to.
+/// Where a node sends its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Upstream {
-    /// The cache boxes.
-    Boxes,
+    /// The cache servers.
+    CacheServers,
     /// The nodes of the shared tier.
     Tier,
 }
 
-/// The words for upstreams.
-pub const UPSTREAMS: [(&str, Upstream); 2] = [("boxes", Upstream::Boxes), ("tier", Upstream::Tier)];
+/// Keywords for upstreams.
+pub const UPSTREAMS: [(&str, Upstream); 2] = [("boxes", Upstream::CacheServers), ("tier", Upstream::Tier)];
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
-    pub name: At<String>,
-    /// What a request of it does.
-    pub effect: At<Effect>,
-    /// How it is sent; a node's own form does not tell.
-    pub command: Option<At<Command>>,
-    /// It is the class of requests that name none.
+    /// Name.
+    pub name: Spanned<String>,
+    /// Side effect of its requests.
+    pub effect: Spanned<Effect>,
+    /// Command that sends it; unknown in a node's file without a `sidecar` section.
+    pub command: Option<Spanned<Command>>,
+    /// Whether requests of this command that name no class belong to it.
     pub default: bool,
-    /// An answer within this time is wanted.
-    pub aim: At<Duration>,
-    /// Nobody waits any longer.
-    pub deadline: At<Duration>,
-    /// What an answer in time is worth.
-    pub worth: At<f64>,
-    /// Part of that for one behind the aim.
-    pub late_worth: At<f64>,
-    /// Said to be safe to repeat.
-    pub repeat: Option<At<bool>>,
-    /// Said to be copied while the first one is out.
-    pub copies: Option<At<bool>>,
-    /// Repeats are dropped for this long.
-    pub window: Option<At<Duration>>,
-    /// By these boxes.
-    pub scope: Option<At<Scope>>,
-    /// Only boxes of these zones.
-    pub zones: Option<At<Vec<At<String>>>>,
-    /// Only boxes of these kinds.
-    pub kinds: Option<At<Vec<At<String>>>>,
-    /// Only these boxes.
-    pub boxes: Option<At<Vec<At<String>>>>,
+    /// Target latency.
+    pub aim: Spanned<Duration>,
+    /// Time after which the client stops waiting.
+    pub deadline: Spanned<Duration>,
+    /// Worth of an answer within the target latency, relative to other classes.
+    pub worth: Spanned<f64>,
+    /// Share of the worth that an answer after the target latency still has.
+    pub late_worth: Spanned<f64>,
+    /// Whether the file marks it as safe to repeat.
+    pub repeat: Option<Spanned<bool>>,
+    /// Whether the file allows a second attempt while the first is pending.
+    pub copies: Option<Spanned<bool>>,
+    /// Time during which a repeat of a key is dropped.
+    pub window: Option<Spanned<Duration>>,
+    /// Cache servers that drop the repeat.
+    pub scope: Option<Spanned<Scope>>,
+    /// Restricts the class to cache servers of these zones.
+    pub zones: Option<Spanned<Vec<Spanned<String>>>>,
+    /// Restricts the class to cache servers of these kinds.
+    pub kinds: Option<Spanned<Vec<Spanned<String>>>>,
+    /// Restricts the class to these cache servers.
+    pub servers: Option<Spanned<Vec<Spanned<String>>>>,
 }
 
 /// A tenant's quota.
 #[derive(Clone, Debug)]
 pub struct Quota {
-    /// The tenant.
-    pub name: At<String>,
-    /// Requests a second over all nodes.
-    pub per_s: At<f64>,
+    /// Name of the tenant.
+    pub name: Spanned<String>,
+    /// Requests per second over all nodes.
+    pub per_s: Spanned<f64>,
 }
 
-/// A cache box, or the origin where it stands among them.
+/// A cache server, or the origin if it is listed among them.
 #[derive(Clone, Debug)]
-pub struct BoxLine {
-    /// Its id.
-    pub id: At<String>,
-    /// Where it is; `None` where that could not be read.
-    pub place: Option<At<Place>>,
-    /// Whether it takes requests.
-    pub state: At<State>,
-    /// Its size, where that is told.
-    pub weight: Option<At<f64>>,
-    /// It is to be warmed up.
-    pub warm_up: Option<At<bool>>,
-    /// Its zone.
-    pub zone: Option<At<String>>,
-    /// Its kind of machine.
-    pub kind: Option<At<String>>,
+pub struct CacheServer {
+    /// Id.
+    pub id: Spanned<String>,
+    /// Network endpoint; `None` if it could not be read.
+    pub endpoint: Option<Spanned<Endpoint>>,
+    /// State.
+    pub state: Spanned<State>,
+    /// Weight, if stated.
+    pub weight: Option<Spanned<f64>>,
+    /// Whether to warm it up.
+    pub warm_up: Option<Spanned<bool>>,
+    /// Zone.
+    pub zone: Option<Spanned<String>>,
+    /// Kind of machine.
+    pub kind: Option<Spanned<String>>,
 }
 
-/// Where applications connect.
+/// The listener to which applications connect.
 #[derive(Clone, Debug)]
 pub struct Listen {
-    /// The block.
+    /// Position of the block.
     pub span: Span,
-    /// On the network.
-    pub address: Option<At<Place>>,
-    /// In the file system.
-    pub unix: Option<At<String>>,
-    /// The socket's mode, as 0660.
-    pub mode: Option<At<u32>>,
-    /// The socket's owner and group, by number.
-    pub owner: Option<At<u64>>,
-    /// The socket's group, by number.
-    pub group: Option<At<u64>>,
+    /// Network address.
+    pub address: Option<Spanned<Endpoint>>,
+    /// Path of the Unix socket.
+    pub unix: Option<Spanned<String>>,
+    /// Mode of the Unix socket, such as 0660.
+    pub mode: Option<Spanned<u32>>,
+    /// User id of the socket's owner.
+    pub owner: Option<Spanned<u64>>,
+    /// Group id of the socket.
+    pub group: Option<Spanned<u64>>,
 }
 
-/// What a node may use.
+/// Resource limits of a node.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Bytes.
-    pub memory: At<u64>,
+    /// Memory in bytes.
+    pub memory: Spanned<u64>,
     /// File descriptors.
-    pub sockets: At<u64>,
+    pub sockets: Spanned<u64>,
     /// Client connections.
-    pub connections: Option<At<u64>>,
-    /// Requests without an answer.
-    pub open: At<u64>,
+    pub connections: Option<Spanned<u64>>,
+    /// Open requests: those without an answer yet.
+    pub open: Spanned<u64>,
 }
 
-/// What the origin takes from the whole fleet.
+/// The origin and its limits, which the whole fleet shares.
 #[derive(Clone, Debug)]
 pub struct Origin {
-    /// Its kind in the list.
-    pub kind: At<String>,
-    /// Where it is, if the file tells.
-    pub place: Option<At<Place>>,
-    /// Calls out at once.
-    pub outstanding: Option<At<f64>>,
-    /// Calls a second.
-    pub per_s: Option<At<f64>>,
+    /// Kind under which the server list has it.
+    pub kind: Spanned<String>,
+    /// Network endpoint, if stated.
+    pub endpoint: Option<Spanned<Endpoint>>,
+    /// Concurrent calls.
+    pub outstanding: Option<Spanned<f64>>,
+    /// Calls per second.
+    pub per_s: Option<Spanned<f64>>,
 }
 
-/// What a box that has just started stands.
+/// The capacity of a cold cache server, one that has just started.
 #[derive(Clone, Debug)]
 pub struct Cold {
-    /// Part of its capacity at the start.
-    pub starts_at: At<f64>,
-    /// It is warm after this time.
-    pub warm_after: At<Duration>,
-    /// It is sent this multiple of what it can do at the moment.
-    pub sends_at: At<f64>,
-    /// Sent this multiple, it falls over,
-    pub falls_at: At<f64>,
-    /// after this time.
-    pub falls_after: At<Duration>,
+    /// Share of its capacity at the start.
+    pub starts_at: Spanned<f64>,
+    /// Time until it is warm.
+    pub warm_after: Spanned<Duration>,
+    /// Load that it is sent, as a multiple of its current capacity.
+    pub sends_at: Spanned<f64>,
+    /// Load at which it fails, as a multiple of its current capacity.
+    pub falls_at: Spanned<f64>,
+    /// Time under that load after which it fails.
+    pub falls_after: Spanned<Duration>,
 }
 
-/// How requests are tried again.
+/// Retries and connections to cache servers.
 #[derive(Clone, Debug)]
 pub struct Retries {
-    /// Attempts of one request at the most.
-    pub attempts: At<u64>,
-    /// Safe ones may have two out at once.
-    pub copies: At<bool>,
-    /// Part of the requests that may be tried again after they may have run; what never ran always is.
-    pub budget: At<f64>,
-    /// A connection is given up after this time.
-    pub connect_timeout: At<Duration>,
-    /// Boxes close idle connections after this time.
-    pub idle_close: At<Duration>,
-    /// Attempts on one connection.
-    pub multiplex: At<u64>,
+    /// Maximum number of attempts per request.
+    pub attempts: Spanned<u64>,
+    /// Whether a safe request may have two attempts pending.
+    pub copies: Spanned<bool>,
+    /// Share of requests that may be retried after they may have run; a request that never ran is always retried.
+    pub budget: Spanned<f64>,
+    /// Time-out for connecting.
+    pub connect_timeout: Spanned<Duration>,
+    /// Time after which cache servers close idle connections.
+    pub idle_close: Spanned<Duration>,
+    /// Concurrent attempts per connection.
+    pub multiplex: Spanned<u64>,
 }
 
 /// The machine that several nodes share.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its name.
-    pub name: At<String>,
-    /// Its memory.
-    pub memory: Option<At<u64>>,
-    /// The descriptors that it gives all of them.
-    pub sockets: Option<At<u64>>,
+    /// Name.
+    pub name: Spanned<String>,
+    /// Memory in bytes.
+    pub memory: Option<Spanned<u64>>,
+    /// File descriptors available to all nodes together.
+    pub sockets: Option<Spanned<u64>>,
 }
 
-/// What the application will send.
+/// The traffic that the application expects to send.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// Requests a second of one sidecar.
-    pub per_s: At<f64>,
-    /// Part of the reads that miss.
-    pub misses: At<f64>,
-    /// Part of the requests that write.
-    pub writes: At<f64>,
+    /// Requests per second of one sidecar.
+    pub per_s: Spanned<f64>,
+    /// Share of reads that miss.
+    pub misses: Spanned<f64>,
+    /// Share of requests that write.
+    pub writes: Spanned<f64>,
 }
 
-/// Other nodes.
+/// The other nodes of the fleet.
 #[derive(Clone, Debug)]
 pub struct Peers {
-    /// Where their messages arrive.
-    pub listen: Option<At<Place>>,
-    /// Their addresses by their numbers.
-    pub nodes: Vec<At<Place>>,
+    /// Endpoint that receives their messages.
+    pub listen: Option<Spanned<Endpoint>>,
+    /// Endpoints of the nodes, by index.
+    pub nodes: Vec<Spanned<Endpoint>>,
 }
 
 /// A configuration.
 #[derive(Clone, Debug)]
 pub struct App {
-    /// The form that it was written in.
-    pub kind: Kind,
-    /// It is an application's sidecar: what binds sidecars is an error here, and a warning for others.
+    /// Kind of file that it was read from.
+    pub kind: FileKind,
+    /// Whether the node is an application's sidecar. Violated rules are errors for sidecars and warnings for other nodes.
     pub sidecar: bool,
-    /// The application.
-    pub name: At<String>,
-    /// Who pays for it.
-    pub tenant: Option<At<String>>,
-    /// What requests go to.
-    pub upstream: At<Upstream>,
-    /// Nodes of the whole fleet, this one among them.
-    pub nodes: At<u64>,
-    /// This one's number, from 0.
-    pub me: At<u64>,
-    /// Where it listens.
+    /// Name of the application.
+    pub name: Spanned<String>,
+    /// Tenant that its requests are charged to.
+    pub tenant: Option<Spanned<String>>,
+    /// Where requests are sent.
+    pub upstream: Spanned<Upstream>,
+    /// Number of nodes in the fleet, including this one.
+    pub nodes: Spanned<u64>,
+    /// Index of this node, from 0.
+    pub me: Spanned<u64>,
+    /// Listener.
     pub listen: Listen,
-    /// Where the list of boxes is.
-    pub discovery: Option<At<Place>>,
-    /// Where the operators' staff call.
-    pub operator: Option<At<Place>>,
-    /// Other nodes.
+    /// Endpoint that serves the server list.
+    pub discovery: Option<Spanned<Endpoint>>,
+    /// Endpoint for operators.
+    pub operator: Option<Spanned<Endpoint>>,
+    /// The other nodes.
     pub peers: Peers,
-    /// What it may use.
+    /// Resource limits.
     pub limits: Limits,
-    /// The origin; without it boxes fetch and write themselves.
+    /// Origin; without one, cache servers fetch and write through themselves.
     pub origin: Option<Origin>,
-    /// What a cold box stands.
+    /// Capacity of a cold cache server.
     pub cold: Cold,
-    /// Time after which nothing new may go to a box that drains.
-    pub grace: At<Duration>,
-    /// How requests are tried again.
+    /// Time after a drain notice during which a cache server may still be sent requests.
+    pub grace: Spanned<Duration>,
+    /// Retries and connections to cache servers.
     pub retries: Retries,
     /// Zones.
-    pub zones: Vec<At<String>>,
+    pub zones: Vec<Spanned<String>>,
     /// Kinds of machines, without the origin's.
-    pub kinds: Vec<At<String>>,
+    pub kinds: Vec<Spanned<String>>,
     /// Classes.
     pub classes: Vec<Class>,
     /// Quotas.
     pub quotas: Vec<Quota>,
-    /// Boxes that are known before the list is.
-    pub boxes: Vec<BoxLine>,
-    /// Those of them that are used whatever the list says.
-    pub pool: Vec<At<String>>,
-    /// The machine.
+    /// Cache servers that are known before the server list arrives.
+    pub servers: Vec<CacheServer>,
+    /// Cache servers that are used regardless of the server list.
+    pub pool: Vec<Spanned<String>>,
+    /// Machine.
     pub machine: Option<Machine>,
-    /// What will come.
+    /// Expected traffic.
     pub traffic: Option<Traffic>,
-    /// Names in load reports.
-    pub reports: Vec<At<String>>,
+    /// Field names in load reports.
+    pub reports: Vec<Spanned<String>>,
 }
 
-const MS: Duration = Duration::from_millis(1);
-/// Times that are waited for: none is shorter than the clock's step.
-fn times(longest: Duration) -> std::ops::RangeInclusive<Duration> {
-    MS..=longest
+/// Shortest duration that a setting accepts: one step of the clock.
+const MIN_DURATION: Duration = Duration::from_millis(1);
+
+/// Returns the bounds of a duration that something waits for.
+fn positive_up_to(longest: Duration) -> std::ops::RangeInclusive<Duration> {
+    MIN_DURATION..=longest
 }
 
-/// Reads an application's file; settings that can't be read have their findings, and there is an [`App`] only where
-/// all that it needs could be.
-pub fn read(node: &Node, hosts: &Hosts, found: &mut Vec<Finding>) -> Option<App> {
-    let mut whole = Block::of(node, "", found)?;
-    whole.span = 0..node.span.end.min(1);
-    let file = &mut whole;
+/// Reads an application's file. Reports settings that can't be read, and returns an [`App`] only if all required settings
+/// could be read.
+pub fn read(node: &TreeNode, hosts: &Hosts, findings: &mut Vec<Finding>) -> Option<App> {
+    let mut root = Block::from_node(node, "", findings)?;
+    root.span = 0..node.span.end.min(1);
+    let file = &mut root;
     let at = file.span.clone();
-    let name = file.label("app", found);
-    let name = file.need("app", name, found);
-    let tenant = file.label("tenant", found);
-    let tenant = file.need("tenant", tenant, found);
-    let upstream = file.word("upstream", &UPSTREAMS, found);
-    let upstream = upstream.unwrap_or_else(|| At::default_at(Upstream::Boxes, at.clone()));
-    let nodes = file.count("nodes", 1..=MOST_NODES, found);
-    let nodes = file.need("nodes", nodes, found);
-    let me = file.count("me", 0..=MOST_NODES, found);
-    let me = file.need("me", me, found);
+    let name = file.identifier("app", findings);
+    let name = file.require("app", name, findings);
+    let tenant = file.identifier("tenant", findings);
+    let tenant = file.require("tenant", tenant, findings);
+    let upstream = file.keyword("upstream", &UPSTREAMS, findings);
+    let upstream = upstream.unwrap_or_else(|| Spanned::default_at(Upstream::CacheServers, at.clone()));
+    let nodes = file.integer("nodes", 1..=MAX_NODES, findings);
+    let nodes = file.require("nodes", nodes, findings);
+    let me = file.integer("me", 0..=MAX_NODES, findings);
+    let me = file.require("me", me, findings);
     if let (Some(nodes), Some(me)) = (&nodes, &me)
         && me.value >= nodes.value
     {
-        let what = format!("`me` is {} of {} nodes", me.value, nodes.value);
-        let mend = "numbers begin with 0";
-        found.push(
-            Finding::error(code::OUT_OF_RANGE, me.span.clone(), what, mend)
-                .with(nodes.span.clone(), "so many nodes"),
+        let problem = format!("`me` is {} of {} nodes", me.value, nodes.value);
+        let fix = "numbers begin with 0";
+        findings.push(
+            Finding::error(code::OUT_OF_RANGE, me.span.clone(), problem, fix)
+                .with_related(nodes.span.clone(), "the number of nodes"),
         );
     }
-    let zones = names(file, "zones", found);
-    let kinds = names(file, "kinds", found);
-    let listen = listen(file, hosts, found);
-    let discovery = file.block("discovery", found).and_then(|mut b| {
-        let address = b.place("address", None, hosts, found);
-        let address = b.need("address", address, found);
-        b.end(found);
+    let zones = read_names(file, "zones", findings);
+    let kinds = read_names(file, "kinds", findings);
+    let listen = read_listen(file, hosts, findings);
+    let discovery = file.block("discovery", findings).and_then(|mut block| {
+        let address = block.endpoint("address", None, hosts, findings);
+        let address = block.require("address", address, findings);
+        block.reject_unknown_keys(findings);
         address
     });
-    let operator = file.block("operator", found).and_then(|mut b| {
-        let address = b.place("address", None, hosts, found);
-        let address = b.need("address", address, found);
-        b.end(found);
+    let operator = file.block("operator", findings).and_then(|mut block| {
+        let address = block.endpoint("address", None, hosts, findings);
+        let address = block.require("address", address, findings);
+        block.reject_unknown_keys(findings);
         address
     });
-    let peers = file.block("peers", found).map(|mut b| {
-        let listen = b.place("listen", None, hosts, found);
-        let nodes = b.texts("nodes", found).map(|t| t.value).unwrap_or_default();
-        let nodes = nodes.iter().filter_map(|t| take::place("peers.nodes", t, None, hosts, found)).collect();
-        b.end(found);
+    let peers = file.block("peers", findings).map(|mut block| {
+        let listen = block.endpoint("listen", None, hosts, findings);
+        let nodes = block.strings("nodes", findings).map(|t| t.value).unwrap_or_default();
+        let nodes = nodes
+            .iter()
+            .filter_map(|t| block::parse_endpoint("peers.nodes", t, None, hosts, findings))
+            .collect();
+        block.reject_unknown_keys(findings);
         Peers { listen, nodes }
     });
     let peers = peers.unwrap_or(Peers { listen: None, nodes: Vec::new() });
-    let limits = limits(file, found);
-    let origin = file.block("origin", found).map(|b| origin(b, hosts, found));
-    let cold = cold(file, found);
-    let grace = file.block("drain", found).and_then(|mut b| {
-        let grace = b.time("grace", Duration::ZERO..=LONGEST, found);
-        b.end(found);
+    let limits = read_limits(file, findings);
+    let origin = file.block("origin", findings).map(|block| read_origin(block, hosts, findings));
+    let cold = read_cold(file, findings);
+    let grace = file.block("drain", findings).and_then(|mut block| {
+        let grace = block.duration("grace", Duration::ZERO..=MAX_DURATION, findings);
+        block.reject_unknown_keys(findings);
         grace
     });
-    let grace = grace.unwrap_or_else(|| At::default_at(Duration::from_millis(500), at.clone()));
-    let retries = retries(file, upstream.value == Upstream::Tier, found);
-    let classes = classes(file, found);
+    let grace = grace.unwrap_or_else(|| Spanned::default_at(Duration::from_millis(500), at.clone()));
+    let retries = read_retries(file, upstream.value == Upstream::Tier, findings);
+    let classes = read_classes(file, findings);
     if classes.is_empty() && file.entry("class").is_none() {
-        let mend = "write `class \"NAME\" { }` for each kind of request";
-        found.push(Finding::error(code::MISSING, at.clone(), "there is no `class`", mend));
+        let fix = "write `class \"NAME\" { }` for each kind of request";
+        findings.push(Finding::error(code::MISSING, at.clone(), "there is no `class`", fix));
     }
-    let quotas = file.blocks("quota", found).into_iter().filter_map(|(name, mut b)| {
-        let per_s = b.number("per_s", 0.001..=1e9, found);
-        let per_s = b.need("per_s", per_s, found);
-        b.end(found);
+    let quotas = file.named_blocks("quota", findings).into_iter().filter_map(|(name, mut block)| {
+        let per_s = block.number("per_s", 0.001..=1e9, findings);
+        let per_s = block.require("per_s", per_s, findings);
+        block.reject_unknown_keys(findings);
         Some(Quota { name, per_s: per_s? })
     });
     let quotas = quotas.collect();
-    let boxes = boxes(file, hosts, found);
-    let pool = names(file, "pool", found);
-    let machine = file.block("machine", found).and_then(|mut b| {
-        let name = b.label("name", found);
-        let name = b.need("name", name, found);
-        let memory = b.size("memory", 1..=1 << 53, found);
-        let sockets = b.count("sockets", 1..=1 << 30, found);
-        b.end(found);
+    let servers = read_servers(file, hosts, findings);
+    let pool = read_names(file, "pool", findings);
+    let machine = file.block("machine", findings).and_then(|mut block| {
+        let name = block.identifier("name", findings);
+        let name = block.require("name", name, findings);
+        let memory = block.size("memory", 1..=1 << 53, findings);
+        let sockets = block.integer("sockets", 1..=1 << 30, findings);
+        block.reject_unknown_keys(findings);
         Some(Machine { name: name?, memory, sockets })
     });
-    let traffic = file.block("traffic", found).and_then(|mut b| {
-        let per_s = b.number("per_s", 0.0..=1e9, found);
-        let per_s = b.need("per_s", per_s, found);
-        let misses = b.number("misses", 0.0..=1.0, found);
-        let misses = misses.unwrap_or_else(|| At::default_at(0.1, b.span.clone()));
-        let writes = b.number("writes", 0.0..=1.0, found);
-        let writes = writes.unwrap_or_else(|| At::default_at(0.05, b.span.clone()));
-        b.end(found);
+    let traffic = file.block("traffic", findings).and_then(|mut block| {
+        let per_s = block.number("per_s", 0.0..=1e9, findings);
+        let per_s = block.require("per_s", per_s, findings);
+        let misses = block.number("misses", 0.0..=1.0, findings);
+        let misses = misses.unwrap_or_else(|| Spanned::default_at(0.1, block.span.clone()));
+        let writes = block.number("writes", 0.0..=1.0, findings);
+        let writes = writes.unwrap_or_else(|| Spanned::default_at(0.05, block.span.clone()));
+        block.reject_unknown_keys(findings);
         Some(Traffic { per_s: per_s?, misses, writes })
     });
-    let reports = names(file, "reports", found);
-    whole.end(found);
+    let reports = read_names(file, "reports", findings);
+    root.reject_unknown_keys(findings);
     Some(App {
-        kind: Kind::Application,
+        kind: FileKind::Application,
         sidecar: true,
         name: name?,
         tenant,
@@ -442,7 +447,7 @@
         kinds,
         classes,
         quotas,
-        boxes,
+        servers,
         pool,
         machine,
         traffic,
@@ -450,20 +455,20 @@
     })
 }
 
-/// A list of names that may travel in lists and extras.
-fn names(block: &mut Block<'_>, key: &'static str, found: &mut Vec<Finding>) -> Vec<At<String>> {
-    let texts = block.texts(key, found).map(|t| t.value).unwrap_or_default();
-    let mut names: Vec<At<String>> = Vec::new();
+/// Reads a list of unique identifiers.
+fn read_names(block: &mut Block<'_>, key: &'static str, findings: &mut Vec<Finding>) -> Vec<Spanned<String>> {
+    let texts = block.strings(key, findings).map(|t| t.value).unwrap_or_default();
+    let mut names: Vec<Spanned<String>> = Vec::new();
     for text in texts {
-        let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-        let name = block.name(key);
-        if text.value.is_empty() || text.value.len() > 64 || !text.value.bytes().all(plain) {
-            let what = format!("`{name}` holds {:?}, which is no name", text.value);
-            found.push(Finding::error(code::BAD_NAME, text.span, what, code::BAD_NAME.mend()));
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+        let name = block.full_name(key);
+        if text.value.is_empty() || text.value.len() > 64 || !text.value.bytes().all(is_allowed) {
+            let problem = format!("`{name}` holds {:?}, which is no name", text.value);
+            findings.push(Finding::error(code::BAD_NAME, text.span, problem, code::BAD_NAME.fix()));
         } else if let Some(before) = names.iter().find(|n| n.value == text.value) {
-            let what = format!("`{name}` holds {:?} twice", text.value);
-            let twice = Finding::error(code::DUPLICATE_KEY, text.span, what, "keep one");
-            found.push(twice.with(before.span.clone(), "the first one"));
+            let problem = format!("`{name}` holds {:?} twice", text.value);
+            let duplicate = Finding::error(code::DUPLICATE_KEY, text.span, problem, "keep one");
+            findings.push(duplicate.with_related(before.span.clone(), "the first one"));
         } else {
             names.push(text);
         }
@@ -471,131 +476,141 @@
     names
 }
 
-fn listen(file: &mut Block<'_>, hosts: &Hosts, found: &mut Vec<Finding>) -> Option<Listen> {
-    let Some(mut b) = file.block("listen", found) else {
+fn read_listen(file: &mut Block<'_>, hosts: &Hosts, findings: &mut Vec<Finding>) -> Option<Listen> {
+    let Some(mut block) = file.block("listen", findings) else {
         if file.entry("listen").is_none() {
-            let mend = "write `listen { address = \"127.0.0.1:6379\" }`";
-            found.push(Finding::error(code::MISSING, file.span.clone(), "there is no `listen`", mend));
+            let fix = "write `listen { address = \"127.0.0.1:6379\" }`";
+            findings.push(Finding::error(code::MISSING, file.span.clone(), "there is no `listen`", fix));
         }
         return None;
     };
-    let address = b.place("address", None, hosts, found);
-    let unix = b.text("unix", found);
-    let mode = b.text("mode", found).and_then(|m| {
+    let address = block.endpoint("address", None, hosts, findings);
+    let unix = block.string("unix", findings);
+    let mode = block.string("mode", findings).and_then(|m| {
         let octal = m.value.strip_prefix('0').filter(|o| o.len() == 3);
         let mode = octal.and_then(|o| u32::from_str_radix(o, 8).ok());
         if mode.is_none() {
-            let what = format!("`listen.mode` is {:?}", m.value);
-            found.push(Finding::error(
+            let problem = format!("`listen.mode` is {:?}", m.value);
+            findings.push(Finding::error(
                 code::WRONG_TYPE,
                 m.span.clone(),
-                what,
+                problem,
                 "write four octal digits, as \"0660\"",
             ));
         }
-        mode.map(|mode| At::new(mode, m.span))
+        mode.map(|mode| Spanned::new(mode, m.span))
     });
-    let owner = b.count("owner", 0..=u64::from(u32::MAX) - 1, found);
-    let group = b.count("group", 0..=u64::from(u32::MAX) - 1, found);
-    let span = b.span.clone();
-    b.end(found);
+    let owner = block.integer("owner", 0..=u64::from(u32::MAX) - 1, findings);
+    let group = block.integer("group", 0..=u64::from(u32::MAX) - 1, findings);
+    let span = block.span.clone();
+    block.reject_unknown_keys(findings);
     Some(Listen { span, address, unix, mode, owner, group })
 }
 
-fn limits(file: &mut Block<'_>, found: &mut Vec<Finding>) -> Option<Limits> {
-    let Some(mut b) = file.block("limits", found) else {
+fn read_limits(file: &mut Block<'_>, findings: &mut Vec<Finding>) -> Option<Limits> {
+    let Some(mut block) = file.block("limits", findings) else {
         if file.entry("limits").is_none() {
-            let mend = "write `limits { memory = \"64 MiB\" sockets = 512 open = 200 connections = 128 }`, a line each";
-            found.push(Finding::error(code::MISSING, file.span.clone(), "there is no `limits`", mend));
+            let fix = "write `limits { memory = \"64 MiB\" sockets = 512 open = 200 connections = 128 }`, a line each";
+            findings.push(Finding::error(code::MISSING, file.span.clone(), "there is no `limits`", fix));
         }
         return None;
     };
-    let memory = b.size("memory", 16 << 20..=1 << 40, found);
-    let memory = b.need("memory", memory, found);
-    let sockets = b.count("sockets", 1..=1 << 30, found);
-    let sockets = b.need("sockets", sockets, found);
-    let connections = b.count("connections", 1..=1 << 30, found);
-    let open = b.count("open", 1..=1 << 24, found);
-    let open = b.need("open", open, found);
-    b.end(found);
+    let memory = block.size("memory", 16 << 20..=1 << 40, findings);
+    let memory = block.require("memory", memory, findings);
+    let sockets = block.integer("sockets", 1..=1 << 30, findings);
+    let sockets = block.require("sockets", sockets, findings);
+    let connections = block.integer("connections", 1..=1 << 30, findings);
+    let open = block.integer("open", 1..=1 << 24, findings);
+    let open = block.require("open", open, findings);
+    block.reject_unknown_keys(findings);
     Some(Limits { memory: memory?, sockets: sockets?, connections, open: open? })
 }
 
-fn origin(mut b: Block<'_>, hosts: &Hosts, found: &mut Vec<Finding>) -> Origin {
-    let kind = b.label("kind", found).unwrap_or_else(|| At::default_at("origin".into(), b.span.clone()));
-    let place = b.place("address", None, hosts, found);
-    let outstanding = b.number("outstanding", 1.0..=1e6, found);
-    let per_s = b.number("per_s", 1.0..=1e9, found);
-    b.end(found);
-    Origin { kind, place, outstanding, per_s }
+fn read_origin(mut block: Block<'_>, hosts: &Hosts, findings: &mut Vec<Finding>) -> Origin {
+    let kind = block
+        .identifier("kind", findings)
+        .unwrap_or_else(|| Spanned::default_at("origin".into(), block.span.clone()));
+    let endpoint = block.endpoint("address", None, hosts, findings);
+    let outstanding = block.number("outstanding", 1.0..=1e6, findings);
+    let per_s = block.number("per_s", 1.0..=1e9, findings);
+    block.reject_unknown_keys(findings);
+    Origin { kind, endpoint, outstanding, per_s }
 }
 
-fn cold(file: &mut Block<'_>, found: &mut Vec<Finding>) -> Cold {
+fn read_cold(file: &mut Block<'_>, findings: &mut Vec<Finding>) -> Cold {
     let none = Block::empty("cold", file.span.clone());
-    let mut b = file.block("cold", found).unwrap_or(none);
-    let span = b.span.clone();
-    let or = |number: Option<At<f64>>, default: f64| {
-        number.unwrap_or_else(|| At::default_at(default, span.clone()))
+    let mut block = file.block("cold", findings).unwrap_or(none);
+    let span = block.span.clone();
+    let or = |number: Option<Spanned<f64>>, default: f64| {
+        number.unwrap_or_else(|| Spanned::default_at(default, span.clone()))
     };
-    let starts_at = or(b.number("starts_at", 0.001..=1.0, found), 0.12);
-    let sends_at = or(b.number("sends_at", 0.1..=100.0, found), 1.5);
-    let falls_at = or(b.number("falls_at", 0.1..=100.0, found), 3.0);
-    let warm_after = b.time("warm_after", times(LONGEST), found);
-    let falls_after = b.time("falls_after", times(LONGEST), found);
-    let span = b.span.clone();
-    b.end(found);
-    let or = |time: Option<At<Duration>>, s: u64| {
-        time.unwrap_or_else(|| At::default_at(Duration::from_secs(s), span.clone()))
+    let starts_at = or(block.number("starts_at", 0.001..=1.0, findings), 0.12);
+    let sends_at = or(block.number("sends_at", 0.1..=100.0, findings), 1.5);
+    let falls_at = or(block.number("falls_at", 0.1..=100.0, findings), 3.0);
+    let warm_after = block.duration("warm_after", positive_up_to(MAX_DURATION), findings);
+    let falls_after = block.duration("falls_after", positive_up_to(MAX_DURATION), findings);
+    let span = block.span.clone();
+    block.reject_unknown_keys(findings);
+    let or = |time: Option<Spanned<Duration>>, s: u64| {
+        time.unwrap_or_else(|| Spanned::default_at(Duration::from_secs(s), span.clone()))
     };
     Cold { starts_at, sends_at, falls_at, warm_after: or(warm_after, 21), falls_after: or(falls_after, 2) }
 }
 
-fn retries(file: &mut Block<'_>, tier: bool, found: &mut Vec<Finding>) -> Retries {
+fn read_retries(file: &mut Block<'_>, tier: bool, findings: &mut Vec<Finding>) -> Retries {
     let none = Block::empty("retries", file.span.clone());
-    let mut b = file.block("retries", found).unwrap_or(none);
-    let span = b.span.clone();
-    let attempts = b.count("attempts", 1..=10, found);
-    let copies = b.flag("copies", found);
-    let budget = b.number("budget", 0.0..=1.0, found);
-    let connect_timeout = b.time("connect_timeout", times(Duration::from_secs(60)), found);
-    let idle_close = b.time("idle_close", times(LONGEST), found);
-    let multiplex = b.count("multiplex", 1..=1024, found);
-    b.end(found);
+    let mut block = file.block("retries", findings).unwrap_or(none);
+    let span = block.span.clone();
+    let attempts = block.integer("attempts", 1..=10, findings);
+    let copies = block.boolean("copies", findings);
+    let budget = block.number("budget", 0.0..=1.0, findings);
+    let connect_timeout =
+        block.duration("connect_timeout", positive_up_to(Duration::from_secs(60)), findings);
+    let idle_close = block.duration("idle_close", positive_up_to(MAX_DURATION), findings);
+    let multiplex = block.integer("multiplex", 1..=1024, findings);
+    block.reject_unknown_keys(findings);
     Retries {
-        attempts: attempts.unwrap_or_else(|| At::default_at(3, span.clone())),
-        copies: copies.unwrap_or_else(|| At::default_at(false, span.clone())),
-        budget: budget.unwrap_or_else(|| At::default_at(if tier { 0.0 } else { BUDGET }, span.clone())),
+        attempts: attempts.unwrap_or_else(|| Spanned::default_at(3, span.clone())),
+        copies: copies.unwrap_or_else(|| Spanned::default_at(false, span.clone())),
+        budget: budget.unwrap_or_else(|| {
+            Spanned::default_at(if tier { 0.0 } else { DEFAULT_RETRY_BUDGET }, span.clone())
+        }),
         connect_timeout: connect_timeout
-            .unwrap_or_else(|| At::default_at(Duration::from_millis(120), span.clone())),
-        idle_close: idle_close.unwrap_or_else(|| At::default_at(Duration::from_secs(60), span.clone())),
-        multiplex: multiplex.unwrap_or_else(|| At::default_at(32, span.clone())),
+            .unwrap_or_else(|| Spanned::default_at(Duration::from_millis(120), span.clone())),
+        idle_close: idle_close.unwrap_or_else(|| Spanned::default_at(Duration::from_secs(60), span.clone())),
+        multiplex: multiplex.unwrap_or_else(|| Spanned::default_at(32, span.clone())),
     }
 }
 
-fn classes(file: &mut Block<'_>, found: &mut Vec<Finding>) -> Vec<Class> {
+fn read_classes(file: &mut Block<'_>, findings: &mut Vec<Finding>) -> Vec<Class> {
     let mut classes = Vec::new();
-    for (name, mut b) in file.blocks("class", found) {
-        let effect = b.word("effect", &EFFECTS, found);
-        let effect = b.need("effect", effect, found);
-        let command = b.word("command", &COMMANDS, found);
-        let command = b.need("command", command, found);
-        let default = b.flag("default", found).is_some_and(|d| d.value);
-        let aim = b.time("aim", times(LONGEST_DEADLINE), found);
-        let aim = b.need("aim", aim, found);
-        let deadline = b.time("deadline", times(LONGEST_DEADLINE), found);
-        let deadline = b.need("deadline", deadline, found);
-        let span = b.span.clone();
-        let worth =
-            b.number("worth", 0.001..=1e6, found).unwrap_or_else(|| At::default_at(1.0, span.clone()));
-        let late_worth =
-            b.number("late_worth", 0.0..=1.0, found).unwrap_or_else(|| At::default_at(0.0, span.clone()));
-        let repeat = b.flag("repeat", found);
-        let copies = b.flag("copies", found);
-        let window = b.time("window", times(LONGEST), found);
-        let scope = b.word("scope", &SCOPES, found);
-        let (zones, kinds, boxes) =
-            (b.texts("zones", found), b.texts("kinds", found), b.texts("boxes", found));
-        b.end(found);
+    for (name, mut block) in file.named_blocks("class", findings) {
+        let effect = block.keyword("effect", &EFFECTS, findings);
+        let effect = block.require("effect", effect, findings);
+        let command = block.keyword("command", &COMMANDS, findings);
+        let command = block.require("command", command, findings);
+        let default = block.boolean("default", findings).is_some_and(|d| d.value);
+        let aim = block.duration("aim", positive_up_to(MAX_DEADLINE), findings);
+        let aim = block.require("aim", aim, findings);
+        let deadline = block.duration("deadline", positive_up_to(MAX_DEADLINE), findings);
+        let deadline = block.require("deadline", deadline, findings);
+        let span = block.span.clone();
+        let worth = block
+            .number("worth", 0.001..=1e6, findings)
+            .unwrap_or_else(|| Spanned::default_at(1.0, span.clone()));
+        let late_worth = block
+            .number("late_worth", 0.0..=1.0, findings)
+            .unwrap_or_else(|| Spanned::default_at(0.0, span.clone()));
+        let repeat = block.boolean("repeat", findings);
+        let copies = block.boolean("copies", findings);
+        let window = block.duration("window", positive_up_to(MAX_DURATION), findings);
+        let scope = block.keyword("scope", &SCOPES, findings);
+        let (zones, kinds, servers) = (
+            block.strings("zones", findings),
+            block.strings("kinds", findings),
+            block.strings("boxes", findings),
+        );
+        block.reject_unknown_keys(findings);
         if let (Some(effect), Some(aim), Some(deadline)) = (effect, aim, deadline) {
             classes.push(Class {
                 name,
@@ -612,25 +627,25 @@
                 scope,
                 zones,
                 kinds,
-                boxes,
+                servers,
             });
         }
     }
     classes
 }
 
-fn boxes(file: &mut Block<'_>, hosts: &Hosts, found: &mut Vec<Finding>) -> Vec<BoxLine> {
-    let mut boxes = Vec::new();
-    for (id, mut b) in file.blocks("box", found) {
-        let place = b.place("address", Some(BOX_PORT), hosts, found);
-        let place = b.need("address", place, found);
-        let state = b.word("state", &STATES, found);
-        let state = state.unwrap_or_else(|| At::default_at(State::Ready, b.span.clone()));
-        let weight = b.number("weight", 0.0..=1e3, found);
-        let warm_up = b.flag("warm_up", found);
-        let (zone, kind) = (b.label("zone", found), b.label("kind", found));
-        b.end(found);
-        boxes.push(BoxLine { id, place, state, weight, warm_up, zone, kind });
+fn read_servers(file: &mut Block<'_>, hosts: &Hosts, findings: &mut Vec<Finding>) -> Vec<CacheServer> {
+    let mut servers = Vec::new();
+    for (id, mut block) in file.named_blocks("box", findings) {
+        let endpoint = block.endpoint("address", Some(DEFAULT_SERVER_PORT), hosts, findings);
+        let endpoint = block.require("address", endpoint, findings);
+        let state = block.keyword("state", &STATES, findings);
+        let state = state.unwrap_or_else(|| Spanned::default_at(State::Ready, block.span.clone()));
+        let weight = block.number("weight", 0.0..=1e3, findings);
+        let warm_up = block.boolean("warm_up", findings);
+        let (zone, kind) = (block.identifier("zone", findings), block.identifier("kind", findings));
+        block.reject_unknown_keys(findings);
+        servers.push(CacheServer { id, endpoint, state, weight, warm_up, zone, kind });
     }
-    boxes
+    servers
 }
--- a/crates/mothpier-config/src/changes.rs
+++ b/crates/mothpier-config/src/changes.rs
@@ -1,203 +1,285 @@
-//! What another configuration would change: setting by setting, with what it does and when it takes hold.
+//! Compares two configurations setting by setting, with the meaning of each setting and when a change takes effect.
 
 use crate::app::{App, COMMANDS, EFFECTS, SCOPES, STATES, UPSTREAMS};
-use crate::units::{show_size, show_time};
+use crate::units::{format_duration, format_size};
 
-/// When a change takes hold.
+/// When a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum When {
-    /// At SIGHUP.
+pub enum AppliesAt {
+    /// On reload (SIGHUP).
     Reload,
-    /// At the next start.
+    /// At the next start of the node.
     Restart,
 }
 
-/// One setting.
+/// One setting of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Setting {
-    /// Its name.
+    /// Path, such as `limits.memory`.
     pub path: String,
-    /// As it is shown.
+    /// Value, formatted for people.
     pub value: String,
-    /// What it does.
-    pub means: &'static str,
-    /// When a change of it takes hold.
-    pub when: When,
+    /// What the setting controls.
+    pub description: &'static str,
+    /// When a change of it takes effect.
+    pub applies_at: AppliesAt,
 }
 
-/// One change.
+/// One changed setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Its name.
+    /// Path, such as `limits.memory`.
     pub path: String,
-    /// What stood there, if anything.
+    /// The old value, if any.
     pub old: Option<String>,
-    /// What stands there, if anything.
+    /// The new value, if any.
     pub new: Option<String>,
-    /// What it does.
-    pub means: &'static str,
-    /// When it takes hold.
-    pub when: When,
+    /// What the setting controls.
+    pub description: &'static str,
+    /// When the change takes effect.
+    pub applies_at: AppliesAt,
 }
 
-fn word<T: PartialEq>(words: &[(&'static str, T)], value: &T) -> String {
-    words.iter().find(|(_, v)| v == value).map_or(String::new(), |(word, _)| (*word).to_owned())
+fn keyword_of<T: PartialEq>(keywords: &[(&'static str, T)], value: &T) -> String {
+    keywords.iter().find(|(_, v)| v == value).map_or(String::new(), |(keyword, _)| (*keyword).to_owned())
 }
 
-/// All settings of a configuration, defaults too, by their names.
+/// Returns all settings of a configuration, including defaults.
 pub fn settings(app: &App) -> Vec<Setting> {
     let mut all = Vec::new();
-    let mut add = |path: &str, value: Option<String>, means: &'static str| {
+    let mut add = |path: &str, value: Option<String>, description: &'static str| {
         if let Some(value) = value {
-            let when = if path == "discovery.address" { When::Reload } else { When::Restart };
-            all.push(Setting { path: path.to_owned(), value, means, when });
+            let applies_at = if path == "discovery.address" { AppliesAt::Reload } else { AppliesAt::Restart };
+            all.push(Setting { path: path.to_owned(), value, description, applies_at });
         }
     };
     add("app", Some(app.name.value.clone()), "the name in the log");
-    add("tenant", app.tenant.as_ref().map(|t| t.value.clone()), "who pays for the requests");
-    add("upstream", Some(word(&UPSTREAMS, &app.upstream.value)), "what requests go to");
-    add("nodes", Some(app.nodes.value.to_string()), "this node's parts of all limits that the fleet shares");
-    add("me", Some(app.me.value.to_string()), "when this node's turns at the origin come");
+    add("tenant", app.tenant.as_ref().map(|t| t.value.clone()), "which tenant the requests are charged to");
+    add("upstream", Some(keyword_of(&UPSTREAMS, &app.upstream.value)), "where requests are sent");
+    add("nodes", Some(app.nodes.value.to_string()), "this node's share of all limits of the fleet");
+    add("me", Some(app.me.value.to_string()), "when it is this node's turn at the origin");
     add(
         "listen.address",
-        app.listen.address.as_ref().map(|a| a.value.plain()),
+        app.listen.address.as_ref().map(|a| a.value.canonical()),
         "where the application connects",
     );
     add("listen.unix", app.listen.unix.as_ref().map(|u| u.value.clone()), "where the application connects");
     add("listen.mode", app.listen.mode.as_ref().map(|m| format!("{:04o}", m.value)), "who may connect");
     add(
         "discovery.address",
-        app.discovery.as_ref().map(|d| d.value.plain()),
-        "where the list of boxes comes from",
+        app.discovery.as_ref().map(|d| d.value.canonical()),
+        "where the server list comes from",
     );
     add(
         "operator.address",
-        app.operator.as_ref().map(|o| o.value.plain()),
-        "where staff ask for figures and take boxes out",
+        app.operator.as_ref().map(|operator| operator.value.canonical()),
+        "where operators read metrics and drain boxes",
     );
-    add("limits.memory", Some(show_size(app.limits.memory.value)), "how many requests may be open");
+    add("limits.memory", Some(format_size(app.limits.memory.value)), "how many requests may be open");
     add("limits.sockets", Some(app.limits.sockets.value.to_string()), "how many connections there may be");
     add(
         "limits.connections",
-        app.limits.connections.as_ref().map(|c| c.value.to_string()),
+        app.limits.connections.as_ref().map(|count| count.value.to_string()),
         "how many clients may connect",
     );
     add("limits.open", Some(app.limits.open.value.to_string()), "requests beyond it are refused");
-    if let Some(o) = &app.origin {
-        add("origin.kind", Some(o.kind.value.clone()), "which lines of the list are the origin");
+    if let Some(origin) = &app.origin {
+        add(
+            "origin.kind",
+            Some(origin.kind.value.clone()),
+            "which entries of the server list are the origin",
+        );
         add(
             "origin.address",
-            o.place.as_ref().map(|p| p.value.plain()),
-            "where misses and writes go until the list says",
+            origin.endpoint.as_ref().map(|p| p.value.canonical()),
+            "where misses and writes go until the server list arrives",
+        );
+        let shown = |f: &Option<crate::tree::Spanned<f64>>| f.as_ref().map(|f| f.value.to_string());
+        add(
+            "origin.outstanding",
+            shown(&origin.outstanding),
+            "concurrent calls to the origin, of the whole fleet",
         );
-        let shown = |f: &Option<crate::tree::At<f64>>| f.as_ref().map(|f| f.value.to_string());
-        add("origin.outstanding", shown(&o.outstanding), "calls at the origin at once, of the whole fleet");
-        add("origin.per_s", shown(&o.per_s), "calls at the origin a second, of the whole fleet");
+        add("origin.per_s", shown(&origin.per_s), "calls to the origin per second, of the whole fleet");
     }
-    let c = &app.cold;
-    add("cold.starts_at", Some(c.starts_at.value.to_string()), "how little a new box is sent");
-    add("cold.warm_after", Some(show_time(c.warm_after.value)), "for how long");
-    add("cold.sends_at", Some(c.sends_at.value.to_string()), "how much of what it can do a new box is sent");
-    add("cold.falls_at", Some(c.falls_at.value.to_string()), "what a new box stands");
-    add("cold.falls_after", Some(show_time(c.falls_after.value)), "how long it stands more");
+    let cold = &app.cold;
+    add(
+        "cold.starts_at",
+        Some(cold.starts_at.value.to_string()),
+        "share of its capacity that a new box has at the start",
+    );
+    add(
+        "cold.warm_after",
+        Some(format_duration(cold.warm_after.value)),
+        "how long a new box takes to warm up",
+    );
+    add(
+        "cold.sends_at",
+        Some(cold.sends_at.value.to_string()),
+        "load sent to a new box, as a multiple of its current capacity",
+    );
+    add(
+        "cold.falls_at",
+        Some(cold.falls_at.value.to_string()),
+        "load at which a new box fails, as a multiple of its current capacity",
+    );
+    add(
+        "cold.falls_after",
+        Some(format_duration(cold.falls_after.value)),
+        "how long a new box withstands that load",
+    );
     add(
         "drain.grace",
-        Some(show_time(app.grace.value)),
-        "how long after a notice something may still be sent",
+        Some(format_duration(app.grace.value)),
+        "how long after a drain notice requests may still be sent",
+    );
+    let retries = &app.retries;
+    add(
+        "retries.attempts",
+        Some(retries.attempts.value.to_string()),
+        "maximum number of attempts per request",
+    );
+    add(
+        "retries.budget",
+        Some(retries.budget.value.to_string()),
+        "share of requests that may be retried after they may have run",
+    );
+    add(
+        "retries.copies",
+        Some(retries.copies.value.to_string()),
+        "whether a slow request is also sent to another box",
     );
-    let r = &app.retries;
-    add("retries.attempts", Some(r.attempts.value.to_string()), "how often a request is tried");
-    add("retries.budget", Some(r.budget.value.to_string()), "how many are tried again that may have run");
-    add("retries.copies", Some(r.copies.value.to_string()), "whether a slow one is sent elsewhere, too");
     add(
         "retries.connect_timeout",
-        Some(show_time(r.connect_timeout.value)),
-        "how long a connection is waited for",
+        Some(format_duration(retries.connect_timeout.value)),
+        "time-out for connecting",
+    );
+    add(
+        "retries.idle_close",
+        Some(format_duration(retries.idle_close.value)),
+        "how long connections to boxes are kept",
+    );
+    add(
+        "retries.multiplex",
+        Some(retries.multiplex.value.to_string()),
+        "how many requests share a connection",
     );
-    add("retries.idle_close", Some(show_time(r.idle_close.value)), "how long connections to boxes are kept");
-    add("retries.multiplex", Some(r.multiplex.value.to_string()), "how many requests share a connection");
-    let list = |names: &[crate::tree::At<String>]| {
+    let list = |names: &[crate::tree::Spanned<String>]| {
         let names: Vec<&str> = names.iter().map(|n| n.value.as_str()).collect();
         (!names.is_empty()).then(|| names.join(", "))
     };
-    add("zones", list(&app.zones), "where boxes may be");
-    add("kinds", list(&app.kinds), "what boxes may be");
-    add("reports", list(&app.reports), "which figures of the boxes' load are read");
-    add("listen.owner", app.listen.owner.as_ref().map(|o| o.value.to_string()), "whose the socket is");
-    add("listen.group", app.listen.group.as_ref().map(|o| o.value.to_string()), "whose the socket is");
+    add("zones", list(&app.zones), "zones of the boxes");
+    add("kinds", list(&app.kinds), "kinds of the boxes");
+    add("reports", list(&app.reports), "which fields of load reports are read");
+    add(
+        "listen.owner",
+        app.listen.owner.as_ref().map(|id| id.value.to_string()),
+        "owner and group of the socket",
+    );
+    add(
+        "listen.group",
+        app.listen.group.as_ref().map(|id| id.value.to_string()),
+        "owner and group of the socket",
+    );
     for class in &app.classes {
-        let name = |setting: &str| format!("class.{}.{setting}", class.name.value);
+        let path = |setting: &str| format!("class.{}.{setting}", class.name.value);
         add(
-            &name("late_worth"),
+            &path("late_worth"),
             Some(class.late_worth.value.to_string()),
-            "what an answer behind the aim is worth",
+            "worth of an answer after the target latency",
         );
         add(
-            &name("scope"),
-            class.scope.as_ref().map(|s| word(&SCOPES, &s.value)),
+            &path("scope"),
+            class.scope.as_ref().map(|s| keyword_of(&SCOPES, &s.value)),
             "which boxes drop a repeat",
         );
-        for (setting, names) in [("zones", &class.zones), ("kinds", &class.kinds), ("boxes", &class.boxes)] {
-            add(&name(setting), names.as_ref().and_then(|n| list(&n.value)), "which boxes it may go to");
+        for (setting, names) in [("zones", &class.zones), ("kinds", &class.kinds), ("boxes", &class.servers)]
+        {
+            add(&path(setting), names.as_ref().and_then(|n| list(&n.value)), "which boxes it may go to");
         }
-        add(&name("effect"), Some(word(&EFFECTS, &class.effect.value)), "whether a request may be repeated");
-        let command = class.command.as_ref().map(|c| word(&COMMANDS, &c.value));
-        add(&name("command"), command, "how the application sends it");
-        add(&name("default"), Some(class.default.to_string()), "whether requests without a class are of it");
-        add(&name("aim"), Some(show_time(class.aim.value)), "when it is tried elsewhere, and given up");
-        add(&name("deadline"), Some(show_time(class.deadline.value)), "the longest that a client may wait");
-        add(&name("worth"), Some(class.worth.value.to_string()), "what is turned away first");
         add(
-            &name("window"),
-            class.window.as_ref().map(|w| show_time(w.value)),
+            &path("effect"),
+            Some(keyword_of(&EFFECTS, &class.effect.value)),
+            "whether a request may be repeated",
+        );
+        let command = class.command.as_ref().map(|command| keyword_of(&COMMANDS, &command.value));
+        add(&path("command"), command, "how the application sends it");
+        add(
+            &path("default"),
+            Some(class.default.to_string()),
+            "whether requests without a class belong to it",
+        );
+        add(&path("aim"), Some(format_duration(class.aim.value)), "when it is tried elsewhere, and given up");
+        add(
+            &path("deadline"),
+            Some(format_duration(class.deadline.value)),
+            "the longest that a client may wait",
+        );
+        add(&path("worth"), Some(class.worth.value.to_string()), "which requests are refused first");
+        add(
+            &path("window"),
+            class.window.as_ref().map(|w| format_duration(w.value)),
             "for how long a repeat is dropped",
         );
     }
-    for q in &app.quotas {
+    for quota in &app.quotas {
         add(
-            &format!("quota.{}", q.name.value),
-            Some(q.per_s.value.to_string()),
-            "whose requests are turned away under strain",
+            &format!("quota.{}", quota.name.value),
+            Some(quota.per_s.value.to_string()),
+            "whose requests are refused first under overload",
         );
     }
-    for b in &app.boxes {
-        let name = |setting: &str| format!("box.{}.{setting}", b.id.value);
-        add(&name("address"), b.place.as_ref().map(|p| p.value.plain()), "boxes known before the list is");
-        add(&name("state"), Some(word(&STATES, &b.state.value)), "boxes known before the list is");
+    for server in &app.servers {
+        let path = |setting: &str| format!("box.{}.{setting}", server.id.value);
+        add(
+            &path("address"),
+            server.endpoint.as_ref().map(|p| p.value.canonical()),
+            "boxes known before the server list arrives",
+        );
+        add(
+            &path("state"),
+            Some(keyword_of(&STATES, &server.state.value)),
+            "boxes known before the server list arrives",
+        );
     }
     let pool: Vec<&str> = app.pool.iter().map(|p| p.value.as_str()).collect();
-    add("pool", (!pool.is_empty()).then(|| pool.join(", ")), "boxes that are used whatever the list says");
-    let peers: Vec<String> = app.peers.nodes.iter().map(|p| p.value.plain()).collect();
+    add(
+        "pool",
+        (!pool.is_empty()).then(|| pool.join(", ")),
+        "boxes that are used regardless of the server list",
+    );
+    let peers: Vec<String> = app.peers.nodes.iter().map(|p| p.value.canonical()).collect();
     add(
         "peers.listen",
-        app.peers.listen.as_ref().map(|p| p.value.plain()),
-        "where word of other nodes arrives",
+        app.peers.listen.as_ref().map(|p| p.value.canonical()),
+        "where messages of other nodes arrive",
     );
     add(
         "peers.nodes",
         (!peers.is_empty()).then(|| peers.join(", ")),
-        "whom this node tells of load and drains",
+        "which nodes are informed of load and drains",
     );
     all
 }
 
-/// What the second one changes, in the order of its settings; what is taken away stands last.
+/// Returns the settings that differ, in the order of the new configuration; removed settings come last.
 pub fn changes(old: &App, new: &App) -> Vec<Change> {
     let (old, new) = (settings(old), settings(new));
-    let was = |path: &str| old.iter().find(|s| s.path == path).map(|s| s.value.clone());
-    let came = new.iter().filter(|s| was(&s.path).as_ref() != Some(&s.value)).map(|s| Change {
-        old: was(&s.path),
-        new: Some(s.value.clone()),
-        path: s.path.clone(),
-        means: s.means,
-        when: s.when,
-    });
-    let went = old.iter().filter(|s| !new.iter().any(|n| n.path == s.path)).map(|s| Change {
+    let old_value = |path: &str| old.iter().find(|s| s.path == path).map(|s| s.value.clone());
+    let added_or_changed =
+        new.iter().filter(|s| old_value(&s.path).as_ref() != Some(&s.value)).map(|s| Change {
+            old: old_value(&s.path),
+            new: Some(s.value.clone()),
+            path: s.path.clone(),
+            description: s.description,
+            applies_at: s.applies_at,
+        });
+    let removed = old.iter().filter(|s| !new.iter().any(|n| n.path == s.path)).map(|s| Change {
         old: Some(s.value.clone()),
         new: None,
         path: s.path.clone(),
-        means: s.means,
-        when: s.when,
+        description: s.description,
+        applies_at: s.applies_at,
     });
-    came.chain(went).collect()
+    added_or_changed.chain(removed).collect()
 }
--- a/crates/mothpier-config/src/place/tests.rs
+++ b/crates/mothpier-config/src/endpoint/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-fn plain(text: &str) -> String {
-    let hosts = Hosts::read("10.1.0.7 pb7.makati.example.org pb7 # the seventh\nnonsense here\n");
-    match Place::read(text, Some(6379), &hosts) {
-        Ok(place) => format!("{}{}", place.plain(), if place.odd { " odd" } else { "" }),
+fn canonical(text: &str) -> String {
+    let hosts = Hosts::parse("10.1.0.7 pb7.makati.example.org pb7 # the seventh\nnonsense here\n");
+    match Endpoint::parse(text, Some(6379), &hosts) {
+        Ok(place) => format!("{}{}", place.canonical(), if place.ambiguous { " odd" } else { "" }),
         Err(e) => format!("{e}"),
     }
 }
@@ -21,14 +21,14 @@
         "::ffff:10.1.0.7",
         "[::ffff:a01:7]",
     ] {
-        assert_eq!(plain(same), "10.1.0.7:6379", "{same}");
+        assert_eq!(canonical(same), "10.1.0.7:6379", "{same}");
     }
-    for odd in ["10.1.7", "012.1.0.7", "10.01.0.007", "0x0a.1.0.7", "167837703", "10.65543"] {
-        assert_eq!(plain(odd), "10.1.0.7:6379 odd", "{odd}");
+    for text in ["10.1.7", "012.1.0.7", "10.01.0.007", "0x0a.1.0.7", "167837703", "10.65543"] {
+        assert_eq!(canonical(text), "10.1.0.7:6379 odd", "{text}");
     }
-    assert_eq!(plain("bücher.example:80"), "xn--bcher-kva.example:80");
-    assert_eq!(plain("[fd00:0::18]:7"), "[fd00::18]:7");
-    assert_eq!(plain("other.example"), "other.example:6379");
+    assert_eq!(canonical("bücher.example:80"), "xn--bcher-kva.example:80");
+    assert_eq!(canonical("[fd00:0::18]:7"), "[fd00::18]:7");
+    assert_eq!(canonical("other.example"), "other.example:6379");
 }
 
 #[test]
@@ -45,7 +45,7 @@
         ("a b", "neither an address nor a name"),
         ("1.2.3.4.5", "neither an address nor a name"),
     ] {
-        assert!(plain(text).contains(error), "{text}: {}", plain(text));
+        assert!(canonical(text).contains(error), "{text}: {}", canonical(text));
     }
-    assert_eq!(Place::read("10.1.0.7", None, &Hosts::default()), Err(Wrong::NoPort));
+    assert_eq!(Endpoint::parse("10.1.0.7", None, &Hosts::default()), Err(EndpointError::NoPort));
 }
--- a/crates/mothpier-config/src/finding.rs
+++ b/crates/mothpier-config/src/finding.rs
@@ -1,4 +1,4 @@
-//! What a check finds: a code that stays, a place, what is wrong, and how it is mended.
+//! Findings: a stable code, a position, the problem, and how to fix it.
 
 use std::fmt;
 
@@ -7,13 +7,13 @@
 use crate::code::Code;
 use crate::tree::Span;
 
-/// How bad it is.
+/// The severity of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
-    /// A node starts with it, and somebody should know.
+    /// A node starts with the configuration, but it should be looked at.
     Warning,
-    /// A node does not start with it.
+    /// A node does not start with the configuration.
     Error,
 }
 
@@ -29,49 +29,49 @@
 /// One finding in one file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// Which check.
+    /// The check that reports the finding.
     pub code: Code,
-    /// How bad.
+    /// The severity.
     pub severity: Severity,
-    /// Where.
+    /// Position in the file.
     pub span: Span,
-    /// What is wrong here.
-    pub what: String,
-    /// How this one is mended.
-    pub mend: String,
-    /// Further places that belong to it, with what stands there.
-    pub also: Vec<(Span, String)>,
+    /// What is wrong.
+    pub problem: String,
+    /// How to fix it.
+    pub fix: String,
+    /// Related positions, each with a note.
+    pub related: Vec<(Span, String)>,
 }
 
 impl Finding {
-    /// An error.
-    pub fn error(code: Code, span: Span, what: impl Into<String>, mend: impl Into<String>) -> Self {
-        let (what, mend) = (what.into(), mend.into());
-        Finding { code, severity: Severity::Error, span, what, mend, also: Vec::new() }
+    /// Creates an error.
+    pub fn error(code: Code, span: Span, problem: impl Into<String>, fix: impl Into<String>) -> Self {
+        let (problem, fix) = (problem.into(), fix.into());
+        Finding { code, severity: Severity::Error, span, problem, fix, related: Vec::new() }
     }
 
-    /// A warning.
-    pub fn warning(code: Code, span: Span, what: impl Into<String>, mend: impl Into<String>) -> Self {
-        Finding { severity: Severity::Warning, ..Finding::error(code, span, what, mend) }
+    /// Creates a warning.
+    pub fn warning(code: Code, span: Span, problem: impl Into<String>, fix: impl Into<String>) -> Self {
+        Finding { severity: Severity::Warning, ..Finding::error(code, span, problem, fix) }
     }
 
-    /// With a further place.
+    /// Adds a related position with a note.
     #[must_use]
-    pub fn with(mut self, span: Span, what: impl Into<String>) -> Self {
-        self.also.push((span, what.into()));
+    pub fn with_related(mut self, span: Span, problem: impl Into<String>) -> Self {
+        self.related.push((span, problem.into()));
         self
     }
 
-    /// One line, as a node logs it.
+    /// Formats the finding as one line, as a node logs it.
     pub fn line(&self, text: &str) -> String {
-        let (line, column) = place(text, self.span.start);
-        let Finding { code, severity, what, mend, .. } = self;
-        format!("{line}:{column}: {severity} {code}: {what}. Mend: {mend}")
+        let (line, column) = line_and_column(text, self.span.start);
+        let Finding { code, severity, problem, fix, .. } = self;
+        format!("{line}:{column}: {severity} {code}: {problem}. Mend: {fix}")
     }
 }
 
-/// Line and column of a byte, both from 1; columns count characters.
-pub fn place(text: &str, at: usize) -> (usize, usize) {
+/// Returns the line and column of a byte, both counted from 1; columns count characters.
+pub fn line_and_column(text: &str, at: usize) -> (usize, usize) {
     let mut at = at.min(text.len());
     while !text.is_char_boundary(at) {
         at -= 1;
@@ -82,8 +82,8 @@
     (line, before[start..].chars().count() + 1)
 }
 
-/// Whether any of them keeps a node from starting.
-pub fn refused(findings: &[Finding]) -> bool {
+/// Returns whether any of the findings is an error, which keeps a node from starting.
+pub fn has_errors(findings: &[Finding]) -> bool {
     findings.iter().any(|f| f.severity == Severity::Error)
 }
 
--- a/crates/mothpier-config/src/profile.rs
+++ b/crates/mothpier-config/src/profile.rs
@@ -1,74 +1,74 @@
-//! What `new` writes: a commented file for one application, from a profile and what is said of it.
+//! Writes a commented configuration file for one application from a profile, for `mothpierctl new`.
 
 use std::fmt::Write;
 
 use crate::read::Form;
 
-/// A kind of application.
+/// A preset for one kind of application.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// People at their phones: reads and messages.
+    /// A mobile app: reads and messages.
     MemberApp,
-    /// People at a browser: more connections, patient reads.
+    /// A website: more connections, and reads with a longer target latency.
     Website,
-    /// A program that reads in bulk and can wait.
+    /// A batch program: reads in bulk that can wait.
     Batch,
 }
 
-/// All of them by their names.
+/// All profiles by name.
 pub const PROFILES: [(&str, Profile); 3] =
     [("member-app", Profile::MemberApp), ("website", Profile::Website), ("batch", Profile::Batch)];
 
-/// A box, or a node of the tier, by its id and address.
+/// A cache server or a node of the shared tier.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Named {
-    /// Its id in the list.
+pub struct NamedServer {
+    /// Id in the server list.
     pub id: String,
-    /// Its address.
+    /// Address.
     pub address: String,
 }
 
-/// What is said of an application.
+/// The properties of a sidecar whose file is to be written.
 #[derive(Clone, Debug)]
-pub struct Answers {
-    /// Its name.
+pub struct SidecarSpec {
+    /// Name of the application.
     pub app: String,
-    /// Its kind.
+    /// Profile.
     pub profile: Profile,
-    /// Who pays.
+    /// Tenant that requests are charged to.
     pub tenant: String,
-    /// Its address of loopback, or an absolute path for a Unix socket.
+    /// Loopback address, or the absolute path of a Unix socket.
     pub listen: String,
-    /// Where the list of boxes is; `None` where requests go to the tier.
+    /// Address that serves the server list; `None` if requests go to the shared tier.
     pub discovery: Option<String>,
-    /// Sidecars in all.
+    /// Number of sidecars in the fleet.
     pub nodes: u64,
-    /// This one's number.
+    /// Index of this sidecar, from 0.
     pub me: u64,
-    /// Boxes known before the list, or the tier's nodes.
-    pub boxes: Vec<Named>,
-    /// The origin's address, where the file is to name it.
+    /// Cache servers known before the server list arrives, or the nodes of the tier.
+    pub servers: Vec<NamedServer>,
+    /// Address of the origin, if the file is to state it.
     pub origin: Option<String>,
-    /// Calls at once and a second that the origin takes of all.
-    pub origin_takes: (f64, f64),
-    /// The tenant's requests a second over all nodes.
+    /// Limits of the origin for the whole fleet: concurrent calls and calls per second.
+    pub origin_limits: (f64, f64),
+    /// Quota of the tenant in requests per second, over all nodes.
     pub quota: f64,
-    /// Safe requests may have two attempts out.
+    /// Whether safe requests may have two attempts pending.
     pub copies: bool,
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: Option<String>,
-    /// How it is to be written.
+    /// Format of the file.
     pub form: Form,
 }
 
 struct Writer {
     text: String,
     form: Form,
-    inside: bool,
+    in_block: bool,
 }
 
 impl Writer {
-    fn say(&mut self, comment: &str) {
+    fn comment(&mut self, comment: &str) {
         let indent = self.indent();
         for line in comment.lines() {
             let _ = writeln!(self.text, "{indent}# {line}");
@@ -76,34 +76,36 @@
     }
 
     fn indent(&self) -> &'static str {
-        if self.inside && self.form == Form::Hcl { "  " } else { "" }
+        if self.in_block && self.form == Form::Hcl { "  " } else { "" }
     }
 
-    fn set(&mut self, key: &str, value: &str) {
+    /// Writes a setting whose value is already in the file's syntax.
+    fn raw(&mut self, key: &str, value: &str) {
         let indent = self.indent();
         let _ = writeln!(self.text, "{indent}{key} = {value}");
     }
 
-    fn text(&mut self, key: &str, value: &str) {
-        self.set(key, &format!("{value:?}"));
+    /// Writes a string setting.
+    fn string(&mut self, key: &str, value: &str) {
+        self.raw(key, &format!("{value:?}"));
     }
 
-    /// A block; with a name it is one of several.
-    fn block(&mut self, key: &str, name: Option<&str>, inside: impl FnOnce(&mut Writer)) {
+    /// Writes a block, which has a name if there can be several of its kind.
+    fn block(&mut self, key: &str, name: Option<&str>, write_body: impl FnOnce(&mut Writer)) {
         let _ = match (self.form, name) {
             (Form::Hcl, None) => writeln!(self.text, "{key} {{"),
             (Form::Hcl, Some(name)) => writeln!(self.text, "{key} {name:?} {{"),
             (_, None) => writeln!(self.text, "[{key}]"),
             (_, Some(name)) => writeln!(self.text, "[[{key}]]\nname = {name:?}"),
         };
-        self.inside = true;
-        inside(self);
-        self.inside = false;
+        self.in_block = true;
+        write_body(self);
+        self.in_block = false;
         self.text.push_str(if self.form == Form::Hcl { "}\n\n" } else { "\n" });
     }
 }
 
-struct Class {
+struct ClassTemplate {
     name: &'static str,
     effect: &'static str,
     command: &'static str,
@@ -114,7 +116,7 @@
     comment: &'static str,
 }
 
-const MESSAGE: Class = Class {
+const SEND_MESSAGE: ClassTemplate = ClassTemplate {
     name: "send-message",
     effect: "unsafe",
     command: "write",
@@ -124,7 +126,7 @@
     window: None,
     comment: "A message must never go out twice: nothing that may have run is sent again.",
 };
-const INTEREST: Class = Class {
+const SEND_INTEREST: ClassTemplate = ClassTemplate {
     name: "send-interest",
     effect: "keyed",
     command: "write",
@@ -135,8 +137,8 @@
     comment: "It carries a key (`k=`); all boxes drop a repeat of the key within the window.",
 };
 
-fn classes(profile: Profile) -> Vec<Class> {
-    let browse = |aim, worth, comment| Class {
+fn classes_of(profile: Profile) -> Vec<ClassTemplate> {
+    let browse = |aim, worth, comment| ClassTemplate {
         name: "browse",
         effect: "safe",
         command: "read",
@@ -150,22 +152,22 @@
         Profile::MemberApp => {
             vec![
                 browse("750ms", 2, "Reads of profiles: nearly all traffic, safe to repeat."),
-                MESSAGE,
-                INTEREST,
+                SEND_MESSAGE,
+                SEND_INTEREST,
             ]
         }
         Profile::Website => {
             vec![
                 browse("1s", 2, "Pages: a browser shows the page when all of it is there."),
-                MESSAGE,
-                INTEREST,
+                SEND_MESSAGE,
+                SEND_INTEREST,
             ]
         }
         Profile::Batch => vec![browse("1400ms", 1, "Reads in bulk: worth less than a member who waits.")],
     }
 }
 
-struct Size {
+struct Limits {
     memory: &'static str,
     sockets: u32,
     connections: u32,
@@ -173,145 +175,157 @@
     attempts: u32,
 }
 
-fn size(profile: Profile) -> Size {
+fn limits_of(profile: Profile) -> Limits {
     match profile {
         Profile::MemberApp => {
-            Size { memory: "64 MiB", sockets: 512, connections: 128, open: 512, attempts: 3 }
+            Limits { memory: "64 MiB", sockets: 512, connections: 128, open: 512, attempts: 3 }
         }
         Profile::Website => {
-            Size { memory: "128 MiB", sockets: 1024, connections: 400, open: 1024, attempts: 3 }
+            Limits { memory: "128 MiB", sockets: 1024, connections: 400, open: 1024, attempts: 3 }
         }
-        Profile::Batch => Size { memory: "32 MiB", sockets: 128, connections: 16, open: 128, attempts: 2 },
+        Profile::Batch => Limits { memory: "32 MiB", sockets: 128, connections: 16, open: 128, attempts: 2 },
     }
 }
 
-/// Writes the file. `words` are those of the command, which a later one reads to know what it wrote itself.
-pub fn write(a: &Answers, words: &str) -> String {
-    let mut w = Writer { text: String::new(), form: a.form, inside: false };
-    let tier = a.discovery.is_none();
-    let profile = PROFILES.iter().find(|(_, p)| *p == a.profile).map_or("", |(name, _)| name);
-    w.say(&format!("The sidecar of {}, from the profile {profile}.", a.app));
-    w.say(&format!("{HEADER}{words}"));
-    w.say("Lines of yours stay when the command runs again. Check: mothpierctl check FILE");
-    w.text.push('\n');
-    w.text("app", &a.app);
-    w.say("Who pays for its requests; the application can't name another.");
-    w.text("tenant", &a.tenant);
-    w.say(if tier { "Requests go to the nodes of the shared tier." } else { "Requests go to the boxes." });
-    w.text("upstream", if tier { "tier" } else { "boxes" });
-    w.say("Sidecars of the whole fleet, and this one's number: its part of what the origin takes.");
-    w.set("nodes", &a.nodes.to_string());
-    w.set("me", &a.me.to_string());
-    // In TOML what stands below a block's name belongs to it: lists come first.
+/// Returns the text of the file. `command_arguments` are recorded in it, so that a later run can reproduce what this one
+/// wrote and merge changes.
+pub fn write(spec: &SidecarSpec, command_arguments: &str) -> String {
+    let mut writer = Writer { text: String::new(), form: spec.form, in_block: false };
+    let tier = spec.discovery.is_none();
+    let profile =
+        PROFILES.iter().find(|(_, candidate)| *candidate == spec.profile).map_or("", |(name, _)| name);
+    writer.comment(&format!("The sidecar of {}, from the profile {profile}.", spec.app));
+    writer.comment(&format!("{COMMAND_HEADER}{command_arguments}"));
+    writer.comment("Lines of yours stay when the command runs again. Check: mothpierctl check FILE");
+    writer.text.push('\n');
+    writer.string("app", &spec.app);
+    writer.comment("Who pays for its requests; the application can't name another.");
+    writer.string("tenant", &spec.tenant);
+    writer.comment(if tier {
+        "Requests go to the nodes of the shared tier."
+    } else {
+        "Requests go to the boxes."
+    });
+    writer.string("upstream", if tier { "tier" } else { "boxes" });
+    writer.comment("Sidecars of the whole fleet, and this one's number: its part of what the origin takes.");
+    writer.raw("nodes", &spec.nodes.to_string());
+    writer.raw("me", &spec.me.to_string());
+    // In TOML, settings after a table header belong to that table, so top-level lists come first.
     if !tier {
-        w.say("Kinds of machines in the list, without the origin's; reports: the figures that boxes tell.");
-        w.set("kinds", "[\"full-box\", \"slow-box\"]");
-        w.set("reports", "[\"lat_ms\", \"busy\"]");
+        writer.comment(
+            "Kinds of machines in the list, without the origin's; reports: the figures that boxes tell.",
+        );
+        writer.raw("kinds", "[\"full-box\", \"slow-box\"]");
+        writer.raw("reports", "[\"lat_ms\", \"busy\"]");
     }
-    w.text.push('\n');
-    w.say("Where the application connects: this machine alone.");
-    w.block("listen", None, |w| {
-        if a.listen.starts_with('/') {
-            w.text("unix", &a.listen);
-            w.say("Owner and group may connect, nobody else.");
-            w.text("mode", "0660");
+    writer.text.push('\n');
+    writer.comment("Where the application connects: this machine alone.");
+    writer.block("listen", None, |writer| {
+        if spec.listen.starts_with('/') {
+            writer.string("unix", &spec.listen);
+            writer.comment("Owner and group may connect, nobody else.");
+            writer.string("mode", "0660");
         } else {
-            w.text("address", &a.listen);
+            writer.string("address", &spec.listen);
         }
     });
-    if let Some(discovery) = &a.discovery {
-        w.say("The list of boxes. The one setting that is read anew at SIGHUP.");
-        w.block("discovery", None, |w| w.text("address", discovery));
+    if let Some(discovery) = &spec.discovery {
+        writer.comment("The list of boxes. The one setting that is read anew at SIGHUP.");
+        writer.block("discovery", None, |writer| writer.string("address", discovery));
     }
-    let size = size(a.profile);
-    w.say("What the node may use; the checker says what must fit into it.");
-    w.block("limits", None, |w| {
-        w.text("memory", size.memory);
-        w.set("sockets", &size.sockets.to_string());
-        w.set("connections", &size.connections.to_string());
-        w.set("open", &size.open.to_string());
+    let limits = limits_of(spec.profile);
+    writer.comment("What the node may use; the checker says what must fit into it.");
+    writer.block("limits", None, |writer| {
+        writer.string("memory", limits.memory);
+        writer.raw("sockets", &limits.sockets.to_string());
+        writer.raw("connections", &limits.connections.to_string());
+        writer.raw("open", &limits.open.to_string());
     });
     if !tier {
-        w.say("What the member database takes from all nodes together; this one takes its part, in turns.");
-        w.block("origin", None, |w| {
-            w.text("kind", "origin");
-            if let Some(origin) = &a.origin {
-                w.text("address", origin);
+        writer.comment(
+            "What the member database takes from all nodes together; this one takes its part, in turns.",
+        );
+        writer.block("origin", None, |writer| {
+            writer.string("kind", "origin");
+            if let Some(origin) = &spec.origin {
+                writer.string("address", origin);
             }
-            w.set("outstanding", &a.origin_takes.0.to_string());
-            w.set("per_s", &a.origin_takes.1.to_string());
+            writer.raw("outstanding", &spec.origin_limits.0.to_string());
+            writer.raw("per_s", &spec.origin_limits.1.to_string());
         });
-        w.say("A box that has just started does a part of its work, and falls over when it is pushed.");
-        w.block("cold", None, |w| {
-            w.set("starts_at", "0.12");
-            w.text("warm_after", "21s");
-            w.set("sends_at", "1.5");
-            w.set("falls_at", "3.0");
-            w.text("falls_after", "2s");
+        writer.comment(
+            "A box that has just started does a part of its work, and falls over when it is pushed.",
+        );
+        writer.block("cold", None, |writer| {
+            writer.raw("starts_at", "0.12");
+            writer.string("warm_after", "21s");
+            writer.raw("sends_at", "1.5");
+            writer.raw("falls_at", "3.0");
+            writer.string("falls_after", "2s");
         });
     }
-    w.say("From the notice on nothing new goes to a box that drains; the rule allows 500 ms.");
-    w.block("drain", None, |w| w.text("grace", "500ms"));
-    w.say(if tier {
+    writer.comment("From the notice on nothing new goes to a box that drains; the rule allows 500 ms.");
+    writer.block("drain", None, |writer| writer.string("grace", "500ms"));
+    writer.comment(if tier {
         "What never ran is tried again; what may have run is the tier's to repeat, or retries would multiply."
     } else {
         "How often a request is tried, and which part may be tried again after it may have run."
     });
-    w.block("retries", None, |w| {
-        w.set("attempts", &size.attempts.to_string());
-        w.set("budget", if tier { "0" } else { "0.2" });
-        w.set("copies", if a.copies && !tier { "true" } else { "false" });
-        w.text("connect_timeout", "120ms");
-        w.text("idle_close", "60s");
+    writer.block("retries", None, |writer| {
+        writer.raw("attempts", &limits.attempts.to_string());
+        writer.raw("budget", if tier { "0" } else { "0.2" });
+        writer.raw("copies", if spec.copies && !tier { "true" } else { "false" });
+        writer.string("connect_timeout", "120ms");
+        writer.string("idle_close", "60s");
     });
     let mut defaults = std::collections::BTreeSet::new();
-    for class in classes(a.profile) {
-        w.say(class.comment);
-        w.block("class", Some(class.name), |w| {
-            w.text("effect", class.effect);
-            w.text("command", class.command);
-            // What writes is named by who sends it: no write happens because a word was left out.
+    for class in classes_of(spec.profile) {
+        writer.comment(class.comment);
+        writer.block("class", Some(class.name), |writer| {
+            writer.string("effect", class.effect);
+            writer.string("command", class.command);
+            // Only reads have a default class: a write must name its class, so that none is sent by omission.
             if class.command == "read" && defaults.insert(class.command) {
-                w.say("Reads that name no class are of this one.");
-                w.set("default", "true");
+                writer.comment("Reads that name no class are of this one.");
+                writer.raw("default", "true");
             }
-            w.text("aim", class.aim);
-            w.text("deadline", class.deadline);
-            w.set("worth", &class.worth.to_string());
+            writer.string("aim", class.aim);
+            writer.string("deadline", class.deadline);
+            writer.raw("worth", &class.worth.to_string());
             if let Some(window) = class.window {
-                w.text("window", window);
+                writer.string("window", window);
             }
         });
     }
-    w.say("Requests a second of the tenant, over all nodes; what is beyond is turned away first.");
-    w.block("quota", Some(&a.tenant), |w| w.set("per_s", &a.quota.to_string()));
-    if !a.boxes.is_empty() {
-        w.say(if tier {
+    writer.comment("Requests a second of the tenant, over all nodes; what is beyond is turned away first.");
+    writer.block("quota", Some(&spec.tenant), |writer| writer.raw("per_s", &spec.quota.to_string()));
+    if !spec.servers.is_empty() {
+        writer.comment(if tier {
             "The nodes of the tier."
         } else {
             "Boxes that are known before the list is; the list has the last word."
         });
-        for b in &a.boxes {
-            w.block("box", Some(&b.id), |w| {
-                w.text("address", &b.address);
-                w.text("state", "ready");
+        for server in &spec.servers {
+            writer.block("box", Some(&server.id), |writer| {
+                writer.string("address", &server.address);
+                writer.string("state", "ready");
             });
         }
     }
-    if let Some(machine) = &a.machine {
-        w.say("Files of one machine are checked together: mothpierctl check DIR/");
-        w.block("machine", None, |w| w.text("name", machine));
+    if let Some(machine) = &spec.machine {
+        writer.comment("Files of one machine are checked together: mothpierctl check DIR/");
+        writer.block("machine", None, |writer| writer.string("name", machine));
     }
-    let end = w.text.trim_end().len();
-    w.text.truncate(end);
-    w.text.push('\n');
-    w.text
+    let trimmed_len = writer.text.trim_end().len();
+    writer.text.truncate(trimmed_len);
+    writer.text.push('\n');
+    writer.text
 }
 
-/// Stands before the words of the command.
-pub const HEADER: &str = "Written by: mothpierctl new ";
+/// Prefix of the line that records the arguments of the command.
+pub const COMMAND_HEADER: &str = "Written by: mothpierctl new ";
 
-/// The words of the command that wrote a file.
-pub fn words(text: &str) -> Option<&str> {
-    text.lines().take(8).find_map(|l| l.strip_prefix("# ")?.strip_prefix(HEADER))
+/// Returns the arguments of the command that wrote a file.
+pub fn command_arguments(text: &str) -> Option<&str> {
+    text.lines().take(8).find_map(|l| l.strip_prefix("# ")?.strip_prefix(COMMAND_HEADER))
 }
--- a/crates/mothpier-config/src/read.rs
+++ b/crates/mothpier-config/src/read.rs
@@ -1,5 +1,5 @@
-//! Bytes into a tree, with everything refused here that could cost memory or time, or that two readers would read
-//! differently.
+//! Parses bytes into a tree. Rejects input that could exhaust memory, time or the stack, and input that different
+//! parsers would interpret differently.
 
 mod hcl;
 mod json;
@@ -9,26 +9,27 @@
 
 use crate::code;
 use crate::finding::Finding;
-use crate::tree::Node;
+use crate::tree::TreeNode;
 
-/// A configuration is a few KB; a node's with a list of 10,000 boxes is 2 MB, and the longest list that it takes 4 MB.
-pub const MOST_BYTES: usize = 8 << 20;
-/// Brackets open at once; the deepest setting stands in four.
-const MOST_DEPTH: usize = 32;
+/// Largest file, in bytes. A configuration is a few KB; a node's file with a list of 10,000 cache servers is 2 MB, and
+/// with the longest list that a node accepts 4 MB.
+pub const MAX_FILE_BYTES: usize = 8 << 20;
+/// Deepest nesting of brackets; the most deeply nested setting needs four.
+const MAX_DEPTH: usize = 32;
 
-/// How a file is written.
+/// The format of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
-    /// For people.
+    /// HCL, for files written by people.
     Hcl,
-    /// For people, too.
+    /// TOML, for files written by people.
     Toml,
-    /// What a node is started with.
+    /// JSON, the file that a node is started with.
     Json,
 }
 
 impl Form {
-    /// The form that a file's name tells.
+    /// Returns the format that a file's extension stands for.
     pub fn of(path: &Path) -> Option<Form> {
         match path.extension()?.to_str()? {
             "hcl" => Some(Form::Hcl),
@@ -39,46 +40,50 @@
     }
 }
 
-/// Reads a file's bytes; the text is given back, since findings are shown in it.
+/// Parses a file. The text is returned as well, since findings refer to positions in it.
 ///
 /// # Errors
 ///
-/// The findings that keep it from being read at all.
-pub fn read(bytes: &[u8], form: Form) -> Result<(String, Node), (String, Vec<Finding>)> {
-    let lossy = || String::from_utf8_lossy(&bytes[..bytes.len().min(MOST_BYTES)]).into_owned();
-    if bytes.len() > MOST_BYTES {
-        let what = format!("the file has {} bytes or more; the most is {MOST_BYTES}", bytes.len());
-        let mend = "look whether it is the file that was meant";
-        return Err((String::new(), vec![Finding::error(code::TOO_LARGE, 0..0, what, mend)]));
+/// Returns the text and the findings that keep the file from being parsed.
+pub fn read(bytes: &[u8], form: Form) -> Result<(String, TreeNode), (String, Vec<Finding>)> {
+    let lossy = || String::from_utf8_lossy(&bytes[..bytes.len().min(MAX_FILE_BYTES)]).into_owned();
+    if bytes.len() > MAX_FILE_BYTES {
+        let problem = format!("the file has {} bytes or more; the most is {MAX_FILE_BYTES}", bytes.len());
+        let fix = "look whether it is the file that was meant";
+        return Err((String::new(), vec![Finding::error(code::TOO_LARGE, 0..0, problem, fix)]));
     }
     let text = match std::str::from_utf8(bytes) {
         Ok(text) => text,
         Err(e) => {
-            // What can't be read is shown as a mark of another length: the place is that in what is shown.
+            // The lossy text replaces invalid bytes by a character of another length, so the position is computed in it.
             let at = String::from_utf8_lossy(&bytes[..e.valid_up_to()]).len();
-            let what = format!("byte {} is no UTF-8", e.valid_up_to());
-            let found =
-                Finding::error(code::NOT_UTF8, at..at + 1, what, "write the file as UTF-8 and type it anew");
-            return Err((lossy(), vec![found]));
+            let problem = format!("byte {} is no UTF-8", e.valid_up_to());
+            let finding = Finding::error(
+                code::NOT_UTF8,
+                at..at + 1,
+                problem,
+                "write the file as UTF-8 and type it anew",
+            );
+            return Err((lossy(), vec![finding]));
         }
     };
     if text.starts_with('\u{feff}') {
-        let found = Finding::error(
+        let finding = Finding::error(
             code::BYTE_ORDER_MARK,
             0..3,
             "the file begins with a byte order mark",
             "save it as UTF-8 without one; JSON readers refuse it (RFC 8259, section 8.1)",
         );
-        return Err((text.to_owned(), vec![found]));
+        return Err((text.to_owned(), vec![finding]));
     }
-    if let Some(at) = too_deep(text) {
-        let found = Finding::error(
+    if let Some(at) = find_excess_nesting(text) {
+        let finding = Finding::error(
             code::TOO_DEEP,
             at..at + 1,
-            format!("more than {MOST_DEPTH} brackets are open here"),
+            format!("more than {MAX_DEPTH} brackets are open here"),
             "no setting stands deeper than four; look for one that was never closed",
         );
-        return Err((text.to_owned(), vec![found]));
+        return Err((text.to_owned(), vec![finding]));
     }
     let read = match form {
         Form::Hcl => hcl::read(text),
@@ -91,9 +96,9 @@
     }
 }
 
-/// Where more brackets are open than any setting needs. Those in texts and comments count, too: that is simple, and
-/// nobody writes 32 of them there. The parsers call themselves for each, and the stack is not without end.
-fn too_deep(text: &str) -> Option<usize> {
+/// Returns the position at which brackets are nested deeper than [`MAX_DEPTH`]: the parsers recurse once per bracket and
+/// would overflow the stack. For simplicity brackets in strings and comments count, too.
+fn find_excess_nesting(text: &str) -> Option<usize> {
     let mut depth = 0usize;
     for (at, byte) in text.bytes().enumerate() {
         match byte {
@@ -101,15 +106,15 @@
             b'}' | b']' | b')' => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > MOST_DEPTH {
+        if depth > MAX_DEPTH {
             return Some(at);
         }
     }
     None
 }
 
-/// A finding for what a parser refused: cut off where the text ends before it should.
-fn syntax(text: &str, at: usize, message: &str) -> Vec<Finding> {
+/// Creates the finding for a parser error; an error at the end of the text is reported as a truncated file.
+fn syntax_error(text: &str, at: usize, message: &str) -> Vec<Finding> {
     let end = text.trim_end().len();
     if at >= end {
         let start = end.saturating_sub(1);
@@ -126,12 +131,12 @@
     vec![Finding::error(code::SYNTAX, at..at + width, message.to_owned(), "mend the line that is shown")]
 }
 
-/// A finding for a name that stands twice.
-fn twice(key: &str, first: Option<crate::tree::Span>, second: crate::tree::Span) -> Finding {
-    let what = format!("`{key}` stands twice in one block");
-    let found = Finding::error(code::DUPLICATE_KEY, second, what, "keep the one that is meant");
+/// Creates the finding for a duplicate key.
+fn duplicate_key(key: &str, first: Option<crate::tree::Span>, second: crate::tree::Span) -> Finding {
+    let problem = format!("`{key}` stands twice in one block");
+    let finding = Finding::error(code::DUPLICATE_KEY, second, problem, "keep the one that is meant");
     match first {
-        Some(first) => found.with(first, "the first one"),
-        None => found,
+        Some(first) => finding.with_related(first, "the first one"),
+        None => finding,
     }
 }
--- a/crates/mothpier-config/src/rules.rs
+++ b/crates/mothpier-config/src/rules.rs
@@ -1,23 +1,23 @@
-//! The checks of one configuration. Each looks at the [`App`] alone: no file, no clock, no network.
+//! The checks of one configuration. Each depends on the [`App`] alone, not on files, clocks or the network.
 
-mod boxes;
 mod effects;
 mod listening;
+mod servers;
 pub mod sizes;
 mod times;
 
 use crate::app::App;
 use crate::finding::{Finding, Severity};
 
-/// All checks of one configuration. What binds sidecars alone is a warning for other nodes.
-pub fn check(app: &App, found: &mut Vec<Finding>) {
-    let from = found.len();
-    effects::check(app, found);
-    boxes::check(app, found);
-    times::check(app, found);
-    listening::check(app, found);
-    sizes::check(app, found);
+/// Runs all checks of one configuration. Violations are warnings for nodes that are not sidecars.
+pub fn check(app: &App, findings: &mut Vec<Finding>) {
+    let first_own = findings.len();
+    effects::check(app, findings);
+    servers::check(app, findings);
+    times::check(app, findings);
+    listening::check(app, findings);
+    sizes::check(app, findings);
     if !app.sidecar {
-        found[from..].iter_mut().for_each(|f| f.severity = Severity::Warning);
+        findings[first_own..].iter_mut().for_each(|f| f.severity = Severity::Warning);
     }
 }
--- a/crates/mothpier-config/src/rules/listening.rs
+++ b/crates/mothpier-config/src/rules/listening.rs
@@ -1,119 +1,145 @@
-//! Where a node listens, for whom, and that it does not talk to itself.
+//! Checks the listener, the tenant and the upstream, and that the node does not send requests to itself.
 
-use crate::app::{App, Kind, State, Upstream};
+use crate::app::{App, FileKind, State, Upstream};
+use crate::block::closest_match;
 use crate::code;
+use crate::endpoint::Host;
 use crate::finding::Finding;
-use crate::place::Host;
-use crate::take::like;
 
-/// The longest path of a Unix socket (unix(7): 108 bytes with the end mark).
-const LONGEST_PATH: usize = 107;
+/// Longest path of a Unix socket in bytes (unix(7): 108 bytes with the terminating null byte).
+const MAX_PATH_BYTES: usize = 107;
 
-pub fn check(app: &App, found: &mut Vec<Finding>) {
-    let l = &app.listen;
-    if app.kind == Kind::Application && l.address.is_some() == l.unix.is_some() {
-        let what = if l.unix.is_some() {
+pub fn check(app: &App, findings: &mut Vec<Finding>) {
+    let listen = &app.listen;
+    if app.kind == FileKind::Application && listen.address.is_some() == listen.unix.is_some() {
+        let problem = if listen.unix.is_some() {
             "there are two places to listen at"
         } else {
             "there is no place to listen at"
         };
-        found.push(Finding::error(code::LISTEN_ONE, l.span.clone(), what, code::LISTEN_ONE.mend()));
+        findings.push(Finding::error(
+            code::LISTENER_COUNT,
+            listen.span.clone(),
+            problem,
+            code::LISTENER_COUNT.fix(),
+        ));
     }
-    if let Some(address) = l.address.as_ref().filter(|_| app.sidecar) {
-        let shown = address.value.plain();
+    if let Some(address) = listen.address.as_ref().filter(|_| app.sidecar) {
+        let endpoint = address.value.canonical();
         match &address.value.host {
             Host::Ip(ip) | Host::Name(_, Some(ip)) if ip.is_unspecified() => {
-                let what = format!("{shown} is every address of the machine");
-                found.push(Finding::error(code::WILDCARD, address.span.clone(), what, code::WILDCARD.mend()));
+                let problem = format!("{endpoint} is every address of the machine");
+                findings.push(Finding::error(
+                    code::WILDCARD_LISTENER,
+                    address.span.clone(),
+                    problem,
+                    code::WILDCARD_LISTENER.fix(),
+                ));
             }
             Host::Ip(ip) | Host::Name(_, Some(ip)) if ip.is_loopback() => {}
             Host::Ip(_) | Host::Name(..) => {
-                let what = format!("{shown} is no address of loopback");
-                found.push(Finding::error(
-                    code::NOT_LOOPBACK,
+                let problem = format!("{endpoint} is no address of loopback");
+                findings.push(Finding::error(
+                    code::LISTENER_NOT_LOOPBACK,
                     address.span.clone(),
-                    what,
-                    code::NOT_LOOPBACK.mend(),
+                    problem,
+                    code::LISTENER_NOT_LOOPBACK.fix(),
                 ));
             }
         }
     }
-    if let Some(path) = &l.unix
-        && (!path.value.starts_with('/') || path.value.len() > LONGEST_PATH || path.value.contains('\0'))
+    if let Some(path) = &listen.unix
+        && (!path.value.starts_with('/') || path.value.len() > MAX_PATH_BYTES || path.value.contains('\0'))
     {
-        let what = format!("{:?} can't be bound", path.value);
-        found.push(Finding::error(code::UNIX_PATH, path.span.clone(), what, code::UNIX_PATH.mend()));
+        let problem = format!("{:?} can't be bound", path.value);
+        findings.push(Finding::error(
+            code::INVALID_SOCKET_PATH,
+            path.span.clone(),
+            problem,
+            code::INVALID_SOCKET_PATH.fix(),
+        ));
     }
-    if let Some(mode) = l.mode.as_ref().filter(|m| m.value & 0o007 != 0) {
-        let what = format!("mode {:04o} lets every user of the machine connect", mode.value);
-        found.push(Finding::error(code::SOCKET_OPEN, mode.span.clone(), what, code::SOCKET_OPEN.mend()));
+    if let Some(mode) = listen.mode.as_ref().filter(|m| m.value & 0o007 != 0) {
+        let problem = format!("mode {:04o} lets every user of the machine connect", mode.value);
+        findings.push(Finding::error(
+            code::SOCKET_WORLD_ACCESSIBLE,
+            mode.span.clone(),
+            problem,
+            code::SOCKET_WORLD_ACCESSIBLE.fix(),
+        ));
     }
-    itself(app, found);
-    tenant(app, found);
-    upstream(app, found);
+    check_self_reference(app, findings);
+    check_tenant(app, findings);
+    check_upstream(app, findings);
 }
 
-/// The list names boxes: a sidecar of the tier has no use for it, and one of the boxes needs it.
-fn upstream(app: &App, found: &mut Vec<Finding>) {
-    if app.kind == Kind::Node && !app.sidecar {
+/// Checks that a sidecar follows the server list exactly if it sends requests to cache servers, and that a sidecar of the
+/// shared tier names a ready node: the list contains cache servers, not nodes of the tier.
+fn check_upstream(app: &App, findings: &mut Vec<Finding>) {
+    if app.kind == FileKind::Node && !app.sidecar {
         return;
     }
     let tier = app.upstream.value == Upstream::Tier;
     match &app.discovery {
-        Some(discovery) if tier => found.push(
+        Some(discovery) if tier => findings.push(
             Finding::error(
-                code::TIER_LIST,
+                code::TIER_UPSTREAM_CONFLICT,
                 discovery.span.clone(),
                 "the list names boxes, and requests go to the shared tier",
                 "leave `discovery` out",
             )
-            .with(app.upstream.span.clone(), "to the tier"),
+            .with_related(app.upstream.span.clone(), "to the tier"),
         ),
         None if !tier => {
-            let mend = "write `discovery { address = \"127.0.0.1:8500\" }`";
-            found.push(Finding::error(
+            let fix = "write `discovery { address = \"127.0.0.1:8500\" }`";
+            findings.push(Finding::error(
                 code::MISSING,
                 app.listen.span.clone(),
                 "there is no `discovery`",
-                mend,
+                fix,
             ));
         }
         _ => {}
     }
-    if tier && !app.boxes.iter().any(|b| b.state.value == State::Ready) {
-        let what = "no node of the tier is named that is ready";
-        let mend = "name each with `box`, its address and state \"ready\"";
-        found.push(Finding::error(code::TIER_LIST, app.upstream.span.clone(), what, mend));
+    if tier && !app.servers.iter().any(|b| b.state.value == State::Ready) {
+        let problem = "no node of the tier is named that is ready";
+        let fix = "name each with `box`, its address and state \"ready\"";
+        findings.push(Finding::error(code::TIER_UPSTREAM_CONFLICT, app.upstream.span.clone(), problem, fix));
     }
 }
 
-fn itself(app: &App, found: &mut Vec<Finding>) {
+/// Reports other endpoints that equal the node's own listener.
+fn check_self_reference(app: &App, findings: &mut Vec<Finding>) {
     let Some(own) = app.listen.address.as_ref() else { return };
-    let plain = own.value.plain();
-    let boxes = app.boxes.iter().filter_map(|b| Some((b.place.as_ref()?, "a box")));
+    let own_endpoint = own.value.canonical();
+    let servers = app.servers.iter().filter_map(|b| Some((b.endpoint.as_ref()?, "a box")));
     let discovery = app.discovery.iter().map(|d| (d, "discovery"));
-    let origin = app.origin.iter().filter_map(|o| Some((o.place.as_ref()?, "the origin")));
+    let origin = app.origin.iter().filter_map(|o| Some((o.endpoint.as_ref()?, "the origin")));
     let operator = app.operator.iter().map(|o| (o, "where its operators call"));
-    for (other, what) in
-        boxes.chain(discovery).chain(origin).chain(operator).filter(|(p, _)| p.value.plain() == plain)
+    for (other, role) in servers
+        .chain(discovery)
+        .chain(origin)
+        .chain(operator)
+        .filter(|(p, _)| p.value.canonical() == own_endpoint)
     {
-        let what = format!("{plain} is where the node listens, and {what}");
-        found.push(
-            Finding::error(code::TALKS_TO_ITSELF, other.span.clone(), what, code::TALKS_TO_ITSELF.mend())
-                .with(own.span.clone(), "it listens here"),
+        let problem = format!("{own_endpoint} is where the node listens, and {role}");
+        findings.push(
+            Finding::error(code::SELF_REFERENCE, other.span.clone(), problem, code::SELF_REFERENCE.fix())
+                .with_related(own.span.clone(), "it listens here"),
         );
     }
 }
 
-fn tenant(app: &App, found: &mut Vec<Finding>) {
+/// Reports a tenant without a quota if other tenants have one.
+fn check_tenant(app: &App, findings: &mut Vec<Finding>) {
     let Some(tenant) = &app.tenant else { return };
     if app.quotas.is_empty() || app.quotas.iter().any(|q| q.name.value == tenant.value) {
         return;
     }
-    let what = format!("tenant {:?} has no quota", tenant.value);
-    let mend = match like(&tenant.value, app.quotas.iter().map(|q| q.name.value.as_str())) {
-        Some(alike) => format!("did you mean {alike:?}?"),
+    let problem = format!("tenant {:?} has no quota", tenant.value);
+    let fix = match closest_match(&tenant.value, app.quotas.iter().map(|q| q.name.value.as_str())) {
+        Some(suggestion) => format!("did you mean {suggestion:?}?"),
         None => format!("write `quota {:?} {{ per_s = … }}`", tenant.value),
     };
-    found.push(Finding::error(code::TENANT_UNKNOWN, tenant.span.clone(), what, mend));
+    findings.push(Finding::error(code::UNKNOWN_TENANT, tenant.span.clone(), problem, fix));
 }
--- a/crates/mothpier-config/src/rules/times.rs
+++ b/crates/mothpier-config/src/rules/times.rs
@@ -1,103 +1,111 @@
-//! Times against each other, and what a cold box stands.
+//! Checks time settings against each other, and the load on a cold cache server.
 
 use std::time::Duration;
 
 use crate::app::{App, Upstream};
 use crate::code;
 use crate::finding::Finding;
-use crate::units::show_time;
+use crate::units::format_duration;
 
-/// A node that is stopped is killed after the longest deadline, 3 s at most, and some time more.
-const STOPPED_AFTER: Duration = Duration::from_secs(3);
+/// Longest deadline that a stopping node waits for before it is killed.
+const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
 
-pub fn check(app: &App, found: &mut Vec<Finding>) {
+pub fn check(app: &App, findings: &mut Vec<Finding>) {
     for class in &app.classes {
         let name = &class.name.value;
         if class.aim.value > class.deadline.value {
-            let (aim, deadline) = (show_time(class.aim.value), show_time(class.deadline.value));
-            let what =
+            let (aim, deadline) = (format_duration(class.aim.value), format_duration(class.deadline.value));
+            let problem =
                 format!("class {name:?} is wanted within {aim}, and nobody waits longer than {deadline}");
-            found.push(
+            findings.push(
                 Finding::error(
                     code::AIM_BEYOND_DEADLINE,
                     class.aim.span.clone(),
-                    what,
+                    problem,
                     format!("set aim to {deadline} or less"),
                 )
-                .with(class.deadline.span.clone(), "the deadline"),
+                .with_related(class.deadline.span.clone(), "the deadline"),
             );
         }
-        if class.deadline.value > STOPPED_AFTER {
-            let what = format!("class {name:?} has a deadline of {}", show_time(class.deadline.value));
-            found.push(Finding::warning(
-                code::PATIENCE,
+        if class.deadline.value > MAX_SHUTDOWN_DEADLINE {
+            let problem =
+                format!("class {name:?} has a deadline of {}", format_duration(class.deadline.value));
+            findings.push(Finding::warning(
+                code::DEADLINE_BEYOND_SHUTDOWN,
                 class.deadline.span.clone(),
-                what,
-                code::PATIENCE.mend(),
+                problem,
+                code::DEADLINE_BEYOND_SHUTDOWN.fix(),
             ));
         }
     }
-    let r = &app.retries;
-    let spent = r.connect_timeout.value * r.attempts.value.min(1000) as u32;
+    let retries = &app.retries;
+    let connect_total = retries.connect_timeout.value * retries.attempts.value.min(1000) as u32;
     if let Some(class) = app.classes.iter().min_by_key(|c| c.deadline.value)
-        && spent > class.deadline.value
+        && connect_total > class.deadline.value
     {
-        let what = format!(
+        let problem = format!(
             "{} attempts of {} each take {}, and class {:?} is waited for {}",
-            r.attempts.value,
-            show_time(r.connect_timeout.value),
-            show_time(spent),
+            retries.attempts.value,
+            format_duration(retries.connect_timeout.value),
+            format_duration(connect_total),
             class.name.value,
-            show_time(class.deadline.value)
+            format_duration(class.deadline.value)
         );
-        let span = if r.connect_timeout.written { &r.connect_timeout.span } else { &r.attempts.span };
-        found.push(
+        let span = if retries.connect_timeout.explicit {
+            &retries.connect_timeout.span
+        } else {
+            &retries.attempts.span
+        };
+        findings.push(
             Finding::error(
-                code::TRIES_BEYOND_DEADLINE,
+                code::ATTEMPTS_BEYOND_DEADLINE,
                 span.clone(),
-                what,
-                code::TRIES_BEYOND_DEADLINE.mend(),
+                problem,
+                code::ATTEMPTS_BEYOND_DEADLINE.fix(),
             )
-            .with(class.deadline.span.clone(), "the shortest deadline"),
+            .with_related(class.deadline.span.clone(), "the shortest deadline"),
         );
     }
     if let Some(class) = app.classes.iter().max_by_key(|c| c.deadline.value)
-        && r.idle_close.value <= class.deadline.value
+        && retries.idle_close.value <= class.deadline.value
     {
-        let what = format!("idle connections close after {}", show_time(r.idle_close.value));
-        let mend = format!("set it longer than {}", show_time(class.deadline.value));
-        found.push(
-            Finding::error(code::IDLE_TOO_SHORT, r.idle_close.span.clone(), what, mend)
-                .with(class.deadline.span.clone(), "the longest deadline"),
+        let problem = format!("idle connections close after {}", format_duration(retries.idle_close.value));
+        let fix = format!("set it longer than {}", format_duration(class.deadline.value));
+        findings.push(
+            Finding::error(code::IDLE_CLOSE_TOO_SHORT, retries.idle_close.span.clone(), problem, fix)
+                .with_related(class.deadline.span.clone(), "the longest deadline"),
         );
     }
-    // What never ran is tried again without a budget: that multiplies nothing.
-    let multiplied =
-        [(r.budget.value > 0.0, &r.budget.span, "retries"), (r.copies.value, &r.copies.span, "copies")];
-    for (on, span, what) in multiplied {
-        if on && app.upstream.value == Upstream::Tier {
-            let what = format!("{what} of the sidecar, each of which the tier tries again");
-            found.push(
-                Finding::error(code::RETRIES_MULTIPLY, span.clone(), what, code::RETRIES_MULTIPLY.mend())
-                    .with(app.upstream.span.clone(), "the tier tries again by itself"),
+    // Requests that never ran are retried without a budget, which does not multiply load.
+    let multiplied = [
+        (retries.budget.value > 0.0, &retries.budget.span, "retries"),
+        (retries.copies.value, &retries.copies.span, "copies"),
+    ];
+    for (enabled, span, source) in multiplied {
+        if enabled && app.upstream.value == Upstream::Tier {
+            let problem = format!("{source} of the sidecar, each of which the tier tries again");
+            findings.push(
+                Finding::error(code::RETRIES_MULTIPLY, span.clone(), problem, code::RETRIES_MULTIPLY.fix())
+                    .with_related(app.upstream.span.clone(), "the tier tries again by itself"),
             );
         }
     }
-    cold(app, found);
+    check_cold(app, findings);
 }
 
-fn cold(app: &App, found: &mut Vec<Finding>) {
-    let c = &app.cold;
-    if c.sends_at.value >= c.falls_at.value {
-        let what = format!(
+/// Checks that a cold cache server is sent less load than makes it fail.
+fn check_cold(app: &App, findings: &mut Vec<Finding>) {
+    let cold = &app.cold;
+    if cold.sends_at.value >= cold.falls_at.value {
+        let problem = format!(
             "a cold box is sent {} times what it can do, and falls over at {}",
-            c.sends_at.value, c.falls_at.value
+            cold.sends_at.value, cold.falls_at.value
         );
-        let span = if c.sends_at.written { &c.sends_at.span } else { &c.falls_at.span };
-        let mend = format!("set `sends_at` below {}", c.falls_at.value);
-        found.push(
-            Finding::error(code::COLD_PUSHED, span.clone(), what, mend)
-                .with(c.falls_at.span.clone(), "it falls over"),
+        let span = if cold.sends_at.explicit { &cold.sends_at.span } else { &cold.falls_at.span };
+        let fix = format!("set `sends_at` below {}", cold.falls_at.value);
+        findings.push(
+            Finding::error(code::COLD_SERVER_OVERLOAD, span.clone(), problem, fix)
+                .with_related(cold.falls_at.span.clone(), "it falls over"),
         );
     }
 }
--- a/crates/mothpier-config/src/tree.rs
+++ b/crates/mothpier-config/src/tree.rs
@@ -1,41 +1,41 @@
-//! A file as it was written: values with their places, before anything is known of their meaning. All three forms
-//! (HCL, TOML, JSON) become one such tree, so that one set of checks serves them all.
+//! The syntax tree of a file: values with their positions, before they are interpreted. All three formats (HCL, TOML,
+//! JSON) are parsed into this tree, so that one set of checks serves them all.
 
 use std::ops::Range;
 
-/// Where something stands: bytes of the file.
+/// A range of bytes in the file.
 pub type Span = Range<usize>;
 
-/// A value and its place.
+/// A value and its position.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Node {
-    /// Where it stands.
+pub struct TreeNode {
+    /// Position in the file.
     pub span: Span,
-    /// What it is.
+    /// The value.
     pub value: Value,
 }
 
-/// What a value is.
+/// An uninterpreted value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Nothing.
+    /// A null.
     Null,
-    /// Yes or no.
+    /// A boolean.
     Bool(bool),
     /// A number.
     Number(f64),
-    /// A text.
+    /// A string.
     Text(String),
-    /// Values in order.
-    List(Vec<Node>),
-    /// Names and values in order.
+    /// A list.
+    List(Vec<TreeNode>),
+    /// A table: keys and values, in file order.
     Table(Vec<Entry>),
-    /// Something that no setting is, as a date; what it is called.
+    /// A type that no setting has, such as a date; holds its name for messages.
     Other(&'static str),
 }
 
 impl Value {
-    /// What a person calls it.
+    /// Returns the name of the type, as messages show it.
     pub fn kind(&self) -> &'static str {
         match self {
             Value::Null => "null",
@@ -49,36 +49,36 @@
     }
 }
 
-/// One name with its value.
+/// One key of a table with its value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The name.
+    /// The key.
     pub key: String,
-    /// Where the name stands.
+    /// Position of the key.
     pub key_span: Span,
-    /// Its value.
-    pub node: Node,
+    /// The value.
+    pub node: TreeNode,
 }
 
-/// A setting with the place that it was read from.
+/// A setting with the position that it was read from.
 #[derive(Clone, Debug, PartialEq)]
-pub struct At<T> {
-    /// What was read.
+pub struct Spanned<T> {
+    /// The setting's value.
     pub value: T,
-    /// Where it stands; for a default the place of the block that lacks it.
+    /// Position in the file; for a default, that of the block that lacks the setting.
     pub span: Span,
-    /// It stands in the file; else it is a default.
-    pub written: bool,
+    /// Whether the file states the setting; otherwise it is a default.
+    pub explicit: bool,
 }
 
-impl<T> At<T> {
-    /// A setting that stands in the file.
+impl<T> Spanned<T> {
+    /// Creates a setting that the file states.
     pub fn new(value: T, span: Span) -> Self {
-        At { value, span, written: true }
+        Spanned { value, span, explicit: true }
     }
 
-    /// A default.
+    /// Creates a setting that takes its default.
     pub fn default_at(value: T, span: Span) -> Self {
-        At { value, span, written: false }
+        Spanned { value, span, explicit: false }
     }
 }
--- a/crates/mothpier-config/tests/corpus.rs
+++ b/crates/mothpier-config/tests/corpus.rs
@@ -6,7 +6,9 @@
 use std::path::{Path, PathBuf};
 
 use mothpier_config::fleet::{self, Member};
-use mothpier_config::{Checked, Code, Form, Hosts, MOST_BYTES, Severity, check, code, permissions, refused};
+use mothpier_config::{
+    CheckReport, Code, Form, Hosts, MAX_FILE_BYTES, Severity, check, code, has_errors, permissions,
+};
 
 fn corpus(part: &str) -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("corpus").join(part);
@@ -16,24 +18,24 @@
 }
 
 fn hosts() -> Hosts {
-    Hosts::read(&fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("corpus/hosts")).unwrap())
+    Hosts::parse(&fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("corpus/hosts")).unwrap())
 }
 
 fn name(path: &Path) -> String {
     path.file_name().unwrap().to_string_lossy().into_owned()
 }
 
-fn checked(path: &Path) -> Checked {
+fn checked(path: &Path) -> CheckReport {
     check(&fs::read(path).unwrap(), Form::of(path).unwrap(), &hosts())
 }
 
-fn lines(checked: &Checked) -> String {
+fn lines(checked: &CheckReport) -> String {
     checked.findings.iter().map(|f| f.line(&checked.text) + "\n").collect()
 }
 
 /// The code that a file's name begins with.
 fn expected(path: &Path) -> Code {
-    Code::named(&name(path)[..6]).unwrap_or_else(|| panic!("{}: begins with no code", path.display()))
+    Code::from_name(&name(path)[..6]).unwrap_or_else(|| panic!("{}: begins with no code", path.display()))
 }
 
 #[test]
@@ -48,7 +50,7 @@
         assert!(by.is_some(), "{}: {code} is not among\n{}", name(path), lines(&checked));
         for f in &checked.findings {
             assert!(f.span.start <= f.span.end && f.span.end <= checked.text.len(), "{}: {f:?}", name(path));
-            assert!(!f.what.is_empty() && !f.mend.is_empty());
+            assert!(!f.problem.is_empty() && !f.fix.is_empty());
         }
         shown += &format!("{}\n{}\n", name(path), lines(&checked));
     }
@@ -67,47 +69,47 @@
 }
 
 /// The files of a folder, and what is found in them together.
-type Set = (Vec<(String, Checked)>, Vec<(usize, mothpier_config::Finding)>);
+type Set = (Vec<(String, CheckReport)>, Vec<(usize, mothpier_config::Finding)>);
 
 fn set(folder: &Path) -> Set {
     let mut files: Vec<PathBuf> = fs::read_dir(folder).unwrap().map(|e| e.unwrap().path()).collect();
     files.sort();
-    let read: Vec<(String, Checked)> = files.iter().map(|f| (name(f), checked(f))).collect();
+    let read: Vec<(String, CheckReport)> = files.iter().map(|f| (name(f), checked(f))).collect();
     let members: Vec<Member<'_>> =
         read.iter().map(|(file, c)| Member { file, app: c.app.as_ref().expect("readable") }).collect();
-    let found = fleet::check(&members);
-    (read, found)
+    let findings = fleet::check(&members);
+    (read, findings)
 }
 
 #[test]
 fn sets_of_files_are_refused_together_though_each_alone_would_pass() {
     let mut shown = String::new();
     for folder in corpus("fleets/broken") {
-        let (read, found) = set(&folder);
+        let (read, findings) = set(&folder);
         let code = expected(&folder);
-        assert!(found.iter().any(|(_, f)| f.code == code), "{}: {found:?}", name(&folder));
+        assert!(findings.iter().any(|(_, f)| f.code == code), "{}: {findings:?}", name(&folder));
         shown += &format!("{}\n", name(&folder));
-        for (at, f) in found {
+        for (at, f) in findings {
             shown += &format!("{}:{}\n", read[at].0, f.line(&read[at].1.text));
         }
     }
     insta::assert_snapshot!("fleets", shown);
     for folder in corpus("fleets/good") {
-        let (read, found) = set(&folder);
-        assert!(found.is_empty(), "{}: {found:?}", name(&folder));
-        assert!(read.iter().all(|(_, c)| !refused(&c.findings)), "{}", name(&folder));
+        let (read, findings) = set(&folder);
+        assert!(findings.is_empty(), "{}: {findings:?}", name(&folder));
+        assert!(read.iter().all(|(_, c)| !has_errors(&c.findings)), "{}", name(&folder));
     }
 }
 
 /// Warnings, what only a program can see, and what no repository should hold are shown by tests of their own.
 #[test]
 fn every_code_has_something_that_it_finds() {
-    let mut found: BTreeSet<Code> = BTreeSet::new();
+    let mut findings: BTreeSet<Code> = BTreeSet::new();
     for path in corpus("broken") {
-        found.extend(checked(&path).findings.iter().map(|f| f.code));
+        findings.extend(checked(&path).findings.iter().map(|f| f.code));
     }
     for folder in corpus("fleets/broken") {
-        found.extend(set(&folder).1.iter().map(|(_, f)| f.code));
+        findings.extend(set(&folder).1.iter().map(|(_, f)| f.code));
     }
     let base =
         fs::read_to_string(corpus("good").into_iter().find(|p| name(p) == "plain.hcl").unwrap()).unwrap();
@@ -125,16 +127,17 @@
         with(&[("\"ready\"", "\"draining\""), ("\"ready\"", "\"gone\"")], ""),
     ];
     for w in &warned {
-        assert!(!refused(&w.findings), "warnings alone: {}", lines(w));
-        found.extend(w.findings.iter().map(|f| f.code));
+        assert!(!has_errors(&w.findings), "warnings alone: {}", lines(w));
+        findings.extend(w.findings.iter().map(|f| f.code));
     }
-    let mut modes = vec![mothpier_config::Finding::error(code::SECRET_INSIDE, 0..1, "a", "b")];
+    let mut modes = vec![mothpier_config::Finding::error(code::EMBEDDED_SECRET, 0..1, "a", "b")];
     permissions::check(0o666, &mut modes);
-    found.extend(modes.iter().map(|f| f.code));
-    found.extend(check(&vec![b' '; MOST_BYTES + 1], Form::Json, &hosts()).findings.iter().map(|f| f.code));
+    findings.extend(modes.iter().map(|f| f.code));
+    findings
+        .extend(check(&vec![b' '; MAX_FILE_BYTES + 1], Form::Json, &hosts()).findings.iter().map(|f| f.code));
     // What the checks of this package let through and a node refuses is tested where the node is at hand.
-    found.insert(code::NODE_REFUSES);
-    let missing: Vec<&Code> = code::ALL.iter().filter(|c| !found.contains(c)).collect();
+    findings.insert(code::NODE_REFUSES);
+    let missing: Vec<&Code> = code::ALL.iter().filter(|c| !findings.contains(c)).collect();
     assert!(missing.is_empty(), "nothing shows {missing:?}");
 }
 
@@ -154,9 +157,14 @@
     file["known"]["members"][1]["host_port"] = "10.1.0.7:6379".into();
     let checked = check(file.to_string().as_bytes(), Form::Json, &hosts());
     let codes: BTreeSet<Code> = checked.findings.iter().map(|f| f.code).collect();
-    for code in [code::UNKNOWN_KEY, code::NAME_SAYS_WRITE, code::GRACE_TOO_LONG, code::BOX_TWICE] {
+    for code in [
+        code::UNKNOWN_KEY,
+        code::WRITE_NAME_MARKED_SAFE,
+        code::GRACE_TOO_LONG,
+        code::DUPLICATE_SERVER_ADDRESS,
+    ] {
         assert!(codes.contains(&code), "{code}: {}", lines(&checked));
     }
-    assert!(!refused(&checked.findings), "{}", lines(&checked));
-    assert!(!codes.contains(&code::NOT_LOOPBACK), "a node of the tier listens for all");
+    assert!(!has_errors(&checked.findings), "{}", lines(&checked));
+    assert!(!codes.contains(&code::LISTENER_NOT_LOOPBACK), "a node of the tier listens for all");
 }
--- a/crates/mothpier-config/tests/properties.rs
+++ b/crates/mothpier-config/tests/properties.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 
 use mothpier_config::changes::settings;
-use mothpier_config::profile::{Answers, Named, PROFILES, words, write};
+use mothpier_config::profile::{NamedServer, PROFILES, SidecarSpec, command_arguments, write};
 use mothpier_config::render::render;
-use mothpier_config::{Form, Hosts, Severity, check, code, refused};
+use mothpier_config::{Form, Hosts, Severity, check, code, has_errors};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -24,7 +24,7 @@
     #[test]
     fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), form in 0usize..3) {
         let checked = check(&bytes, FORMS[form].0, &Hosts::default());
-        prop_assert!(refused(&checked.findings), "random bytes are no configuration");
+        prop_assert!(has_errors(&checked.findings), "random bytes are no configuration");
     }
 
     /// A good file with a part of it cut out, doubled, or spoilt: findings or none, all within the text.
@@ -50,7 +50,7 @@
             prop_assert!(f.span.start <= f.span.end && f.span.end <= checked.text.len().max(f.span.end.min(1)));
             let _ = f.line(&checked.text);
         }
-        prop_assert!(checked.app.is_some() || refused(&checked.findings), "not read, and not said why");
+        prop_assert!(checked.app.is_some() || has_errors(&checked.findings), "not read, and not said why");
     }
 }
 
@@ -63,11 +63,11 @@
             for bits in 0..64u32 {
                 let on = |bit: u32| bits & (1 << bit) != 0;
                 let tier = on(0);
-                let mut boxes = vec![Named { id: "n1".into(), address: "10.1.0.1:6379".into() }];
+                let mut servers = vec![NamedServer { id: "n1".into(), address: "10.1.0.1:6379".into() }];
                 if !tier && on(1) {
-                    boxes.clear();
+                    servers.clear();
                 }
-                let answers = Answers {
+                let answers = SidecarSpec {
                     app: "profiles".into(),
                     profile,
                     tenant: "silverlight".into(),
@@ -75,16 +75,16 @@
                     discovery: (!tier).then(|| "127.0.0.1:8500".into()),
                     nodes: if on(3) { 200 } else { 1 },
                     me: if on(3) { 199 } else { 0 },
-                    boxes,
+                    servers,
                     origin: on(4).then(|| "10.2.0.1:80".into()),
-                    origin_takes: (80.0, 400.0),
+                    origin_limits: (80.0, 400.0),
                     quota: 150.0,
                     copies: on(5),
                     machine: on(1).then(|| "web-1".into()),
                     form,
                 };
                 let text = write(&answers, "--app profiles");
-                assert_eq!(words(&text), Some("--app profiles"));
+                assert_eq!(command_arguments(&text), Some("--app profiles"));
                 let checked = check(text.as_bytes(), form, &Hosts::default());
                 assert!(checked.findings.is_empty(), "{text}\n{:#?}", checked.findings);
                 let app = checked.app.unwrap();
@@ -107,17 +107,18 @@
 }
 
 /// The names that a block knows, as the finding for an unknown one lists them.
-fn known(block: &str) -> BTreeSet<String> {
+fn known_keys(block: &str) -> BTreeSet<String> {
     let text = match block {
         "" => "zzzzzz = 1\n".to_owned(),
         "class" | "quota" | "box" => format!("{block} \"a\" {{\n  zzzzzz = 1\n}}\n"),
         _ => format!("{block} {{\n  zzzzzz = 1\n}}\n"),
     };
     let checked = check(text.as_bytes(), Form::Hcl, &Hosts::default());
-    let found = checked.findings.iter().find(|f| f.code == code::UNKNOWN_KEY && f.what.contains("zzzzzz"));
-    let mend = &found.unwrap_or_else(|| panic!("{block}: {:?}", checked.findings)).mend;
-    mend.strip_prefix("known here: ")
-        .unwrap_or_else(|| panic!("{mend}"))
+    let findings =
+        checked.findings.iter().find(|f| f.code == code::UNKNOWN_KEY && f.problem.contains("zzzzzz"));
+    let fix = &findings.unwrap_or_else(|| panic!("{block}: {:?}", checked.findings)).fix;
+    fix.strip_prefix("known here: ")
+        .unwrap_or_else(|| panic!("{fix}"))
         .split(", ")
         .map(str::to_owned)
         .collect()
@@ -129,7 +130,7 @@
     let names = |part: &serde_json::Value| -> BTreeSet<String> {
         part["properties"].as_object().unwrap().keys().cloned().collect()
     };
-    assert_eq!(names(&schema), known(""));
+    assert_eq!(names(&schema), known_keys(""));
     let blocks = [
         ("listen", "Listen"),
         ("discovery", "Discovery"),
@@ -146,17 +147,17 @@
         ("box", "BoxLine"),
     ];
     for (block, name) in blocks {
-        assert_eq!(names(&schema["$defs"][name]), known(block), "{block}");
+        assert_eq!(names(&schema["$defs"][name]), known_keys(block), "{block}");
     }
 }
 
 #[test]
 fn a_change_of_any_setting_is_told_with_what_it_takes() {
-    use mothpier_config::changes::{When, changes};
-    let plain = String::from_utf8(file("plain.hcl")).unwrap();
+    use mothpier_config::changes::{AppliesAt, changes};
+    let canonical = String::from_utf8(file("plain.hcl")).unwrap();
     let app = |text: &str| check(text.as_bytes(), Form::Hcl, &Hosts::default()).app.unwrap();
-    assert!(changes(&app(&plain), &app(&plain)).is_empty());
-    let mut told = 0;
+    assert!(changes(&app(&canonical), &app(&canonical)).is_empty());
+    let mut count = 0;
     for (old, new, path) in [
         ("127.0.0.1:8500", "127.0.0.1:8501", "discovery.address"),
         ("sockets = 512", "sockets = 513", "limits.sockets"),
@@ -167,15 +168,15 @@
         ("outstanding = 80", "outstanding = 81", "origin.outstanding"),
         ("class \"send-interest\"", "class \"send-hello\"", "class.send-hello.effect"),
     ] {
-        let all = changes(&app(&plain), &app(&plain.replacen(old, new, 1)));
+        let all = changes(&app(&canonical), &app(&canonical.replacen(old, new, 1)));
         let change = all.iter().find(|c| c.path == path).unwrap_or_else(|| panic!("{path}: {all:?}"));
-        let when = if path == "discovery.address" { When::Reload } else { When::Restart };
-        assert_eq!(change.when, when, "{path}");
-        told += 1;
+        let applies_at = if path == "discovery.address" { AppliesAt::Reload } else { AppliesAt::Restart };
+        assert_eq!(change.applies_at, applies_at, "{path}");
+        count += 1;
     }
-    assert_eq!(told, 8);
+    assert_eq!(count, 8);
     assert!(
-        check(plain.as_bytes(), Form::Hcl, &Hosts::default())
+        check(canonical.as_bytes(), Form::Hcl, &Hosts::default())
             .findings
             .iter()
             .all(|f| f.severity != Severity::Error)
--- a/crates/mothpier/tests/sidecar.rs
+++ b/crates/mothpier/tests/sidecar.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::{Receiver, channel};
 
 use mothpier_config::render::render;
-use mothpier_config::{Form, Hosts, check, refused};
+use mothpier_config::{Form, Hosts, check, has_errors};
 use mothpier_world::loopback::*;
 
 const FILE: &str = r#"
@@ -47,7 +47,7 @@
 fn rendered(more: &str) -> serde_json::Value {
     let checked = check(format!("{FILE}{more}").as_bytes(), Form::Hcl, &Hosts::default());
     let lines: Vec<String> = checked.findings.iter().map(|f| f.line(&checked.text)).collect();
-    assert!(!refused(&checked.findings), "{lines:#?}");
+    assert!(!has_errors(&checked.findings), "{lines:#?}");
     render(&checked.app.unwrap())
 }
 
--- a/crates/mothpierctl/src/check.rs
+++ b/crates/mothpierctl/src/check.rs
@@ -3,17 +3,17 @@
 use std::path::{Path, PathBuf};
 
 use mothpier::config::{self, Precedence};
-use mothpier_config::finding::refused;
+use mothpier_config::finding::has_errors;
 use mothpier_config::fleet::{self, Member};
 use mothpier_config::render::render as rendered;
-use mothpier_config::{Checked, Finding, Form, Hosts, Severity, code};
+use mothpier_config::{CheckReport, Finding, Form, Hosts, Severity, code};
 use serde_json::{Value, json};
 
 use crate::{FOUND, GOOD, files, print, show};
 
 /// Lets the node's own reader look at what it would be started with: what a check accepts, a node starts with.
-pub fn node_reads(checked: &mut Checked, form: Form) {
-    if refused(&checked.findings) {
+pub fn node_reads(checked: &mut CheckReport, form: Form) {
+    if has_errors(&checked.findings) {
         return;
     }
     let text = match (form, &checked.app) {
@@ -27,7 +27,7 @@
         _ => None,
     };
     if let Err(e) = config::parse(text.as_bytes(), &env, Precedence::File) {
-        let finding = Finding::error(code::NODE_REFUSES, 0..0, e, code::NODE_REFUSES.mend());
+        let finding = Finding::error(code::NODE_REFUSES, 0..0, e, code::NODE_REFUSES.fix());
         checked.findings.push(finding);
     }
 }
@@ -74,7 +74,7 @@
 
 /// Prints what keeps a file from being used; whether there was any.
 pub fn refuses(read: &files::Source, out: show::Out) -> Result<bool, String> {
-    if !refused(&read.checked.findings) {
+    if !has_errors(&read.checked.findings) {
         return Ok(false);
     }
     let errors = read.checked.findings.iter().filter(|f| f.severity == Severity::Error);
--- a/crates/mothpierctl/src/compare.rs
+++ b/crates/mothpierctl/src/compare.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use mothpier_config::Hosts;
-use mothpier_config::changes::{When, changes};
+use mothpier_config::changes::{AppliesAt, changes};
 use serde_json::{Value, json};
 
 use crate::{FOUND, GOOD, check, files, print, show};
@@ -22,11 +22,11 @@
             .ok_or_else(|| format!("{}: can't be read; `mothpierctl check` says why", r.name))
     };
     let changes = changes(&app(&old)?, &app(&new)?);
-    let when = |w: When| if w == When::Reload { "reload" } else { "restart" };
+    let when = |w: AppliesAt| if w == AppliesAt::Reload { "reload" } else { "restart" };
     if out.json {
         let all: Vec<Value> = changes
             .iter()
-            .map(|c| json!({"setting": c.path, "old": c.old, "new": c.new, "means": c.means, "takes": when(c.when)}))
+            .map(|c| json!({"setting": c.path, "old": c.old, "new": c.new, "means": c.description, "takes": when(c.applies_at)}))
             .collect();
         print(&format!("{:#}\n", json!({"changes": all})))?;
     } else {
@@ -34,9 +34,14 @@
         let mut text = String::new();
         for c in &changes {
             let (old, new) = (c.old.clone().unwrap_or_else(none), c.new.clone().unwrap_or_else(none));
-            text += &format!("{}: {old} -> {new}\n    {}; takes a {}\n", c.path, c.means, when(c.when));
+            text += &format!(
+                "{}: {old} -> {new}\n    {}; takes a {}\n",
+                c.path,
+                c.description,
+                when(c.applies_at)
+            );
         }
-        let restart = changes.iter().any(|c| c.when == When::Restart);
+        let restart = changes.iter().any(|c| c.applies_at == AppliesAt::Restart);
         text += match (changes.is_empty(), restart) {
             (true, _) => "nothing changes\n",
             (false, true) => {
--- a/crates/mothpierctl/src/files.rs
+++ b/crates/mothpierctl/src/files.rs
@@ -5,7 +5,7 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
-use mothpier_config::{Checked, Form, Hosts, MOST_BYTES, check, permissions};
+use mothpier_config::{CheckReport, Form, Hosts, MAX_FILE_BYTES, check, permissions};
 
 /// A folder's files at the most; whoever has more names their folders.
 const MOST_FILES: usize = 100_000;
@@ -17,7 +17,7 @@
     /// How it is written.
     pub form: Form,
     /// What the check gave.
-    pub checked: Checked,
+    pub checked: CheckReport,
 }
 
 /// Reads at most as many bytes as a configuration may have, and one more.
@@ -29,7 +29,7 @@
         return Err(format!("{} is a folder; name a file in it", path.display()));
     }
     let mut bytes = Vec::new();
-    file.take(MOST_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(cannot)?;
+    file.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(cannot)?;
     Ok((bytes, about.permissions().mode()))
 }
 
@@ -50,10 +50,10 @@
 pub fn hosts(path: Option<&Path>) -> Result<Hosts, String> {
     let Some(path) = path else { return Ok(Hosts::default()) };
     let (bytes, _) = bytes(path)?;
-    if bytes.len() > MOST_BYTES {
-        return Err(format!("{}: a hosts file of more than {MOST_BYTES} bytes", path.display()));
+    if bytes.len() > MAX_FILE_BYTES {
+        return Err(format!("{}: a hosts file of more than {MAX_FILE_BYTES} bytes", path.display()));
     }
-    Ok(Hosts::read(&String::from_utf8_lossy(&bytes)))
+    Ok(Hosts::parse(&String::from_utf8_lossy(&bytes)))
 }
 
 /// The files that are meant: those named, and those in the folders named, in the order of their names.
--- a/crates/mothpierctl/src/main.rs
+++ b/crates/mothpierctl/src/main.rs
@@ -216,7 +216,7 @@
 }
 
 fn explain(name: Option<&str>, out: show::Out) -> Result<u8, String> {
-    let one = |c: &Code| serde_json::json!({"code": c, "title": c.title(), "in_service": c.in_service(), "mend": c.mend()});
+    let one = |c: &Code| serde_json::json!({"code": c, "title": c.title(), "in_service": c.in_service(), "mend": c.fix()});
     let Some(name) = name else {
         if out.json {
             return print(&format!("{:#}\n", serde_json::Value::from_iter(code::ALL.iter().map(one))));
@@ -224,16 +224,11 @@
         let lines: String = code::ALL.iter().map(|c| format!("{c}  {}\n", c.title())).collect();
         return print(&lines);
     };
-    let Some(code) = Code::named(name) else {
+    let Some(code) = Code::from_name(name) else {
         return Err(format!("there is no code {name:?}; `mothpierctl explain` lists all of them"));
     };
     if out.json {
         return print(&format!("{:#}\n", one(&code)));
     }
-    print(&format!(
-        "{code}: {}\n\nIn service: {}\n\nMend: {}\n",
-        code.title(),
-        code.in_service(),
-        code.mend()
-    ))
+    print(&format!("{code}: {}\n\nIn service: {}\n\nMend: {}\n", code.title(), code.in_service(), code.fix()))
 }
--- a/crates/mothpierctl/src/new.rs
+++ b/crates/mothpierctl/src/new.rs
@@ -6,7 +6,7 @@
 
 use clap::{Args, Parser, ValueEnum};
 use dialoguer::{Input, Select};
-use mothpier_config::profile::{self, Answers, Named, PROFILES, Profile};
+use mothpier_config::profile::{self, NamedServer, PROFILES, Profile, SidecarSpec};
 use mothpier_config::{Form, Hosts, check};
 
 use crate::{FOUND, GOOD, files, print, show};
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-fn answers(o: &Options) -> Result<Answers, String> {
+fn answers(o: &Options) -> Result<SidecarSpec, String> {
     let need = |value: &Option<String>, name: &str| {
         let value = value.clone().ok_or_else(|| format!("--{name} is missing"))?;
         // The command stands in one line of the file, and is read again from there.
@@ -136,13 +136,13 @@
     let profile = need(&o.profile, "profile")?;
     let profile = PROFILES.iter().find(|(name, _)| *name == profile).map_or(Profile::MemberApp, |(_, p)| *p);
     let named = |text: &String| match text.split_once('=') {
-        Some((id, address)) if !id.is_empty() && !address.is_empty() => Ok(Named {
+        Some((id, address)) if !id.is_empty() && !address.is_empty() => Ok(NamedServer {
             id: need(&Some(id.to_owned()), "box")?,
             address: need(&Some(address.to_owned()), "box")?,
         }),
         _ => Err(format!("--box: {text:?} is not ID=ADDRESS")),
     };
-    Ok(Answers {
+    Ok(SidecarSpec {
         app: need(&o.app, "app")?,
         profile,
         tenant: need(&o.tenant, "tenant")?,
@@ -150,9 +150,9 @@
         discovery: if o.tier { None } else { Some(need(&o.discovery, "discovery")?) },
         nodes: o.nodes,
         me: o.me,
-        boxes: o.boxes.iter().map(named).collect::<Result<_, _>>()?,
+        servers: o.boxes.iter().map(named).collect::<Result<_, _>>()?,
         origin: optional(&o.origin, "origin")?,
-        origin_takes: (f64::from(o.origin_outstanding), f64::from(o.origin_per_s)),
+        origin_limits: (f64::from(o.origin_outstanding), f64::from(o.origin_per_s)),
         quota: f64::from(o.quota),
         copies: !o.no_copies,
         machine: optional(&o.machine, "machine")?,
@@ -255,10 +255,13 @@
     let (bytes, _) = files::bytes(path)?;
     let there = String::from_utf8(bytes).map_err(|_| format!("{name} is not UTF-8"))?;
     let foreign = || format!("{name} is there and was not written by `new`; name another with --output");
-    let before = profile::words(&there).ok_or_else(foreign)?;
+    let before = profile::command_arguments(&there).ok_or_else(foreign)?;
     let before =
         Again::try_parse_from(std::iter::once("new").chain(before.split_whitespace())).map_err(|_| {
-            format!("{name}: the line \"{}\" was changed and can't be read", profile::HEADER.trim_end())
+            format!(
+                "{name}: the line \"{}\" was changed and can't be read",
+                profile::COMMAND_HEADER.trim_end()
+            )
         })?;
     let base = written(&before.options)?;
     let merged = match diffy::merge(&base, &there, text) {
--- a/crates/mothpierctl/src/plan.rs
+++ b/crates/mothpierctl/src/plan.rs
@@ -7,8 +7,8 @@
 use brassrouter::settings::server_number;
 use brassrouter::{Action, Event, ListKind, Outcome, Policy, Request, ServerEntry, Status};
 use mothpier::config::{self, Precedence};
-use mothpier_config::app::{BOX_PORT, Command};
-use mothpier_config::place::Place;
+use mothpier_config::app::{Command, DEFAULT_SERVER_PORT};
+use mothpier_config::endpoint::Endpoint;
 use mothpier_config::render::render;
 use mothpier_config::{App, Hosts};
 use serde::Deserialize;
@@ -64,7 +64,7 @@
             [id, address, kind] => (id, address, kind),
             _ => return Err(format!("{name}:{}: write ID ADDRESS [KIND]", at + 1)),
         };
-        Place::read(address, Some(BOX_PORT), hosts)
+        Endpoint::parse(address, Some(DEFAULT_SERVER_PORT), hosts)
             .map_err(|e| format!("{name}:{}: {address:?}: {e}", at + 1))?;
         lines.push(Line {
             id: id.into(),
--- a/crates/mothpierctl/src/show.rs
+++ b/crates/mothpierctl/src/show.rs
@@ -1,7 +1,7 @@
 //! Findings for people, each with its place and a mark, and for programs.
 
 use ariadne::{Config, IndexType, Label, Report, ReportKind, Source};
-use mothpier_config::finding::place;
+use mothpier_config::finding::line_and_column;
 use mothpier_config::{Finding, Severity};
 use serde_json::{Value, json};
 
@@ -26,11 +26,11 @@
         .with_config(config)
         .with_code(f.code)
         .with_message(f.code.title())
-        .with_label(Label::new((file, span)).with_message(&f.what))
+        .with_label(Label::new((file, span)).with_message(&f.problem))
         .with_note(f.code.in_service())
-        .with_help(&f.mend);
-    for (span, what) in &f.also {
-        report.add_label(Label::new((file, within(text, span))).with_message(what));
+        .with_help(&f.fix);
+    for (span, problem) in &f.related {
+        report.add_label(Label::new((file, within(text, span))).with_message(problem));
     }
     let mut shown = Vec::new();
     let written = report.finish().write((file, Source::from(text)), &mut shown);
@@ -52,17 +52,17 @@
 
 /// One finding for a program.
 pub fn value(file: &str, text: &str, f: &Finding) -> Value {
-    let (line, column) = place(text, f.span.start);
-    let also: Vec<Value> = f
-        .also
+    let (line, column) = line_and_column(text, f.span.start);
+    let related: Vec<Value> = f
+        .related
         .iter()
-        .map(|(span, what)| {
-            let (line, column) = place(text, span.start);
-            json!({"line": line, "column": column, "what": what})
+        .map(|(span, problem)| {
+            let (line, column) = line_and_column(text, span.start);
+            json!({"line": line, "column": column, "what": problem})
         })
         .collect();
     json!({
         "file": file, "code": f.code, "severity": f.severity, "line": line, "column": column,
-        "title": f.code.title(), "what": f.what, "in_service": f.code.in_service(), "mend": f.mend, "also": also,
+        "title": f.code.title(), "what": f.problem, "in_service": f.code.in_service(), "mend": f.fix, "also": related,
     })
 }
