--- a/crates/mothpier-config/src/code/tests.rs
+++ b/crates/mothpier-config/src/code/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn codes_are_in_order_and_each_stands_once() {
+fn codes_are_sorted_and_unique() {
     assert!(ALL.windows(2).all(|w| w[0].name() < w[1].name()));
     assert!(ALL.iter().all(|c| Code::from_name(c.name()) == Some(*c)));
     assert_eq!(Code::from_name("mp0201"), Some(UNSAFE_REPEATED));
--- a/crates/mothpier-config/src/endpoint/tests.rs
+++ b/crates/mothpier-config/src/endpoint/tests.rs
@@ -3,14 +3,16 @@
 fn canonical(text: &str) -> String {
     let hosts = Hosts::parse("10.1.0.7 pb7.makati.example.org pb7 # the seventh\nnonsense here\n");
     match Endpoint::parse(text, Some(6379), &hosts) {
-        Ok(place) => format!("{}{}", place.canonical(), if place.ambiguous { " odd" } else { "" }),
+        Ok(endpoint) => {
+            format!("{}{}", endpoint.canonical(), if endpoint.ambiguous { " ambiguous" } else { "" })
+        }
         Err(e) => format!("{e}"),
     }
 }
 
 #[test]
-fn one_place_has_one_plain_spelling() {
-    for same in [
+fn all_spellings_of_an_endpoint_have_one_canonical_form() {
+    for spelling in [
         "10.1.0.7:6379",
         "10.1.0.7",
         " 10.1.0.7 ",
@@ -21,10 +23,10 @@
         "::ffff:10.1.0.7",
         "[::ffff:a01:7]",
     ] {
-        assert_eq!(canonical(same), "10.1.0.7:6379", "{same}");
+        assert_eq!(canonical(spelling), "10.1.0.7:6379", "{spelling}");
     }
     for text in ["10.1.7", "012.1.0.7", "10.01.0.007", "0x0a.1.0.7", "167837703", "10.65543"] {
-        assert_eq!(canonical(text), "10.1.0.7:6379 odd", "{text}");
+        assert_eq!(canonical(text), "10.1.0.7:6379 ambiguous", "{text}");
     }
     assert_eq!(canonical("bücher.example:80"), "xn--bcher-kva.example:80");
     assert_eq!(canonical("[fd00:0::18]:7"), "[fd00::18]:7");
@@ -32,7 +34,7 @@
 }
 
 #[test]
-fn what_is_no_place_is_said_to_be_none() {
+fn invalid_endpoints_are_rejected_with_a_reason() {
     for (text, error) in [
         ("", "there is nothing"),
         ("10.1.0.7:0", "\"0\" is no port"),
--- a/crates/mothpier-config/src/permissions/tests.rs
+++ b/crates/mothpier-config/src/permissions/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_file_is_its_owners_and_a_secret_in_it_nobody_elses() {
+fn files_writable_by_others_and_secrets_readable_by_others_are_reported() {
     let codes = |mode, mut findings: Vec<Finding>| {
         check(mode, &mut findings);
         findings.into_iter().map(|f| f.code).collect::<Vec<_>>()
--- a/crates/mothpier-config/src/schema.rs
+++ b/crates/mothpier-config/src/schema.rs
@@ -1,10 +1,10 @@
-//! The application's file as types, for the JSON Schema that editors complete and check by. The reader is in
-//! [`crate::app`]; a test holds both to the same names.
+//! The JSON Schema of an application's file, for completion and validation in editors. Doc comments of the types become
+//! descriptions in the schema. The reader is in [`crate::app`]; a test checks that both have the same names.
 #![allow(dead_code, reason = "the types are read by schemars alone")]
 
 use schemars::JsonSchema;
 
-/// The JSON Schema of an application's file.
+/// Returns the JSON Schema of an application's file.
 pub fn schema() -> serde_json::Value {
     schemars::schema_for!(File).to_value()
 }
@@ -13,23 +13,23 @@
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct File {
-    /// The application's name.
+    /// Name of the application.
     app: String,
-    /// Who pays for its requests.
+    /// Tenant that the application's requests are charged to.
     tenant: String,
-    /// What requests go to; the boxes where nothing is said.
+    /// Where requests are sent; the cache servers by default.
     upstream: Option<Upstream>,
-    /// Sidecars of the whole fleet.
+    /// Number of sidecars in the fleet.
     nodes: u64,
-    /// This one's number, from 0.
+    /// Index of this sidecar, from 0.
     me: u64,
     /// Zones of the fleet.
     zones: Option<Vec<String>>,
     /// Kinds of machines, without the origin's.
     kinds: Option<Vec<String>>,
-    /// Boxes, by name, that are used whatever the list says.
+    /// Names of cache servers that are used regardless of the server list.
     pool: Option<Vec<String>>,
-    /// Figures in load reports, in their order.
+    /// Fields of load reports, in their order.
     reports: Option<Vec<String>>,
     listen: Listen,
     discovery: Option<Discovery>,
@@ -42,11 +42,11 @@
     retries: Option<Retries>,
     machine: Option<Machine>,
     traffic: Option<Traffic>,
-    /// Kinds of requests.
+    /// Classes of requests.
     class: Vec<Class>,
     /// Quotas of tenants.
     quota: Option<Vec<Quota>>,
-    /// Boxes that are known before the list is, or nodes of the tier.
+    /// Cache servers that are known before the server list arrives, or nodes of the tier.
     #[schemars(rename = "box")]
     boxes: Option<Vec<BoxLine>>,
 }
@@ -54,29 +54,29 @@
 #[derive(JsonSchema)]
 #[schemars(rename_all = "lowercase")]
 enum Upstream {
-    /// The cache boxes.
+    /// The cache servers.
     Boxes,
     /// The nodes of the shared tier.
     Tier,
 }
 
-/// Where the application connects: either `address` or `unix`.
+/// The listener to which the application connects: either `address` or `unix`.
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Listen {
-    /// ADDRESS:PORT of loopback.
+    /// ADDRESS:PORT, a loopback address.
     address: Option<String>,
     /// Absolute path of a Unix socket.
     unix: Option<String>,
-    /// Its mode, four octal digits.
+    /// Mode of the socket, four octal digits.
     mode: Option<String>,
-    /// Its owner, a number.
+    /// User id of the socket's owner.
     owner: Option<u32>,
-    /// Its group, a number.
+    /// Group id of the socket.
     group: Option<u32>,
 }
 
-/// The list of boxes.
+/// The source of the server list.
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Discovery {
@@ -84,7 +84,7 @@
     address: String,
 }
 
-/// Where the operators' staff call; without it there is no such door.
+/// The listener for operators; without it there is none.
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Operator {
@@ -96,79 +96,79 @@
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Peers {
-    /// Where their datagrams arrive, ADDRESS:PORT.
+    /// ADDRESS:PORT that receives their datagrams.
     listen: Option<String>,
-    /// Their addresses, in the order of their numbers.
+    /// Their addresses, in the order of their indices.
     nodes: Option<Vec<String>>,
 }
 
-/// What the node may use.
+/// Resource limits of the node.
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Limits {
-    /// A size with its unit, as "64 MiB".
+    /// Memory with its unit, such as "64 MiB".
     memory: String,
     /// File descriptors.
     sockets: u64,
     /// Client connections.
     connections: Option<u64>,
-    /// Requests without an answer.
+    /// Open requests: those without an answer yet.
     open: u64,
 }
 
-/// What the origin takes from the whole fleet.
+/// The origin and its limits, which the whole fleet shares.
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Origin {
-    /// Its kind in the list.
+    /// Kind under which the server list has it.
     kind: Option<String>,
-    /// ADDRESS:PORT, where the list does not tell.
+    /// ADDRESS:PORT, if the server list does not contain it.
     address: Option<String>,
-    /// Calls at once.
+    /// Concurrent calls.
     outstanding: Option<f64>,
-    /// Calls a second.
+    /// Calls per second.
     per_s: Option<f64>,
 }
 
-/// What a box that has just started stands.
+/// The capacity of a cold cache server, one that has just started.
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Cold {
-    /// Part of its capacity at the start.
+    /// Share of its capacity at the start.
     starts_at: Option<f64>,
-    /// It is warm after this time, as "21s".
+    /// Time until it is warm, such as "21s".
     warm_after: Option<String>,
-    /// Sent this multiple of what it can do.
+    /// Load that it is sent, as a multiple of its current capacity.
     sends_at: Option<f64>,
-    /// It falls over at this multiple,
+    /// Load at which it fails, as a multiple of its current capacity.
     falls_at: Option<f64>,
-    /// after this time.
+    /// Time under that load after which it fails.
     falls_after: Option<String>,
 }
 
-/// Boxes that drain.
+/// Draining cache servers.
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Drain {
-    /// Nothing new behind this time, 500ms at most.
+    /// Time after a drain notice during which requests may still be sent, 500ms at most.
     grace: Option<String>,
 }
 
-/// How requests are tried again.
+/// Retries and connections to cache servers.
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Retries {
-    /// Attempts of one request.
+    /// Maximum number of attempts per request.
     attempts: Option<u64>,
-    /// Safe ones may have two out at once.
+    /// Whether a safe request may have two attempts pending.
     copies: Option<bool>,
-    /// Part of the requests that may be tried again after they may have run; what never ran always is.
+    /// Share of requests that may be retried after they may have run; a request that never ran is always retried.
     budget: Option<f64>,
-    /// A connection is given up after this time.
+    /// Time-out for connecting.
     connect_timeout: Option<String>,
-    /// Boxes close idle connections after this time.
+    /// Time after which cache servers close idle connections.
     idle_close: Option<String>,
-    /// Attempts on one connection.
+    /// Concurrent attempts per connection.
     multiplex: Option<u64>,
 }
 
@@ -176,59 +176,59 @@
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Machine {
-    /// Its name.
+    /// Name.
     name: String,
-    /// Its memory.
+    /// Memory with its unit, such as "8 GiB".
     memory: Option<String>,
-    /// The descriptors that it gives all of them.
+    /// File descriptors available to all nodes together.
     sockets: Option<u64>,
 }
 
-/// What the application will send.
+/// The traffic that the application expects to send.
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Traffic {
-    /// Requests a second of this sidecar.
+    /// Requests per second of this sidecar.
     per_s: f64,
-    /// Part of the reads that miss.
+    /// Share of reads that miss.
     misses: Option<f64>,
-    /// Part of the requests that write.
+    /// Share of requests that write.
     writes: Option<f64>,
 }
 
-/// A kind of request.
+/// A class of requests.
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Class {
-    /// Its name, as in `c=`.
+    /// Name, as requests state it in `c=`.
     name: String,
-    /// What a repeat of it does.
+    /// Side effect of its requests, and thus of a repeat.
     effect: Effect,
-    /// How it is sent.
+    /// Command that sends it.
     command: Command,
-    /// Requests of this command that name no class are of this one.
+    /// Whether requests of this command that name no class belong to this one.
     default: Option<bool>,
-    /// An answer within this time is wanted.
+    /// Target latency.
     aim: String,
-    /// Nobody waits any longer.
+    /// Time after which the client stops waiting.
     deadline: String,
-    /// What an answer in time is worth against other classes.
+    /// Worth of an answer within the target latency, relative to other classes.
     worth: Option<f64>,
-    /// Part of that for one behind the aim.
+    /// Share of the worth that an answer after the target latency still has.
     late_worth: Option<f64>,
-    /// Said to be safe to repeat; refused where it is not.
+    /// Marks the class as safe to repeat; an error if its effect is not.
     repeat: Option<bool>,
-    /// Said to be copied; refused where it may not be.
+    /// Allows a second attempt while the first is pending; an error if the effect forbids it.
     copies: Option<bool>,
-    /// Boxes drop a repeat of a key for this long.
+    /// Time during which cache servers drop a repeat of a key.
     window: Option<String>,
-    /// Which boxes drop it.
+    /// Cache servers that drop the repeat.
     scope: Option<Scope>,
-    /// Only boxes of these zones.
+    /// Restricts the class to cache servers of these zones.
     zones: Option<Vec<String>>,
-    /// Only boxes of these kinds.
+    /// Restricts the class to cache servers of these kinds.
     kinds: Option<Vec<String>>,
-    /// Only these boxes.
+    /// Restricts the class to these cache servers.
     boxes: Option<Vec<String>>,
 }
 
@@ -261,29 +261,29 @@
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct Quota {
-    /// The tenant.
+    /// Name of the tenant.
     name: String,
-    /// Requests a second over all nodes.
+    /// Requests per second over all nodes.
     per_s: f64,
 }
 
-/// A cache box, or a node of the tier.
+/// A cache server, or a node of the tier.
 #[derive(JsonSchema)]
 #[schemars(deny_unknown_fields)]
 struct BoxLine {
-    /// Its id in the list.
+    /// Id in the server list.
     name: String,
-    /// ADDRESS:PORT, or a name that the hosts file has.
+    /// ADDRESS:PORT; the host may be a name that the hosts file contains.
     address: String,
-    /// Whether it takes requests.
+    /// State.
     state: Option<State>,
-    /// Its size.
+    /// Weight.
     weight: Option<f64>,
-    /// It is to be warmed up.
+    /// Whether to warm it up.
     warm_up: Option<bool>,
-    /// Its zone.
+    /// Zone.
     zone: Option<String>,
-    /// Its kind.
+    /// Kind of machine.
     kind: Option<String>,
 }
 
--- a/crates/mothpier-config/src/units/tests.rs
+++ b/crates/mothpier-config/src/units/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn times_and_sizes_need_their_units_and_come_back_as_they_are_shown() {
+fn durations_and_sizes_need_units_and_survive_formatting_and_parsing() {
     assert_eq!(parse_duration("750ms"), Ok(Duration::from_millis(750)));
     assert_eq!(parse_duration("1.5s"), Ok(Duration::from_millis(1_500)));
     assert_eq!(parse_size("64 MiB"), Ok(64 << 20));
--- a/crates/mothpier-config/tests/properties.rs
+++ b/crates/mothpier-config/tests/properties.rs
@@ -1,4 +1,5 @@
-//! No input panics; what is written back is read alike; names of the schema and of the reader are the same.
+//! Properties of the whole checker: no input panics, generated and rendered files read the same in every format, and the
+//! schema has the same names as the reader.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -11,7 +12,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn file(name: &str) -> Vec<u8> {
+fn good_file(name: &str) -> Vec<u8> {
     fs::read(Path::new(env!("CARGO_MANIFEST_DIR")).join("corpus/good").join(name)).unwrap()
 }
 
@@ -22,18 +23,18 @@
     #![proptest_config(ProptestConfig { cases: 1_500, rng_seed: RngSeed::Fixed(9), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), form in 0usize..3) {
+    fn random_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), form in 0usize..3) {
         let checked = check(&bytes, FORMS[form].0, &Hosts::default());
         prop_assert!(has_errors(&checked.findings), "random bytes are no configuration");
     }
 
-    /// A good file with a part of it cut out, doubled, or spoilt: findings or none, all within the text.
+    /// Replaces a part of a good file. Findings must lie within the text, and a file that can't be read must have an error.
     #[test]
-    fn no_spoilt_file_panics(
+    fn corrupted_files_do_not_panic(
         form in 0usize..3,
         from in 0usize..4_000,
-        long in 0usize..60,
-        put in prop_oneof![
+        length in 0usize..60,
+        inserted in prop_oneof![
             Just(Vec::new()),
             proptest::collection::vec(any::<u8>(), 0..8),
             "[\\[\\]{}()\"'=:,!?$%<>&|+*/#\\\\ \n-]{0,40}".prop_map(String::into_bytes),
@@ -41,10 +42,10 @@
                 .prop_map(|s| s.as_bytes().to_vec()),
         ],
     ) {
-        let mut bytes = file(FORMS[form].1);
+        let mut bytes = good_file(FORMS[form].1);
         let from = from % bytes.len();
-        let to = (from + long).min(bytes.len());
-        bytes.splice(from..to, put);
+        let to = (from + length).min(bytes.len());
+        bytes.splice(from..to, inserted);
         let checked = check(&bytes, FORMS[form].0, &Hosts::default());
         for f in &checked.findings {
             prop_assert!(f.span.start <= f.span.end && f.span.end <= checked.text.len().max(f.span.end.min(1)));
@@ -54,50 +55,51 @@
     }
 }
 
-/// Every combination of what `new` is told: no finding, not even a warning; and what a node is started with passes too.
+/// Generates files from every combination of options: neither the file nor the rendered node file may have findings.
 #[test]
-fn what_is_written_passes_and_is_read_alike_in_every_form() {
+fn generated_files_pass_and_read_the_same_in_every_format() {
     let mut count = 0;
     for (_, profile) in PROFILES {
         for form in [Form::Hcl, Form::Toml] {
             for bits in 0..64u32 {
-                let on = |bit: u32| bits & (1 << bit) != 0;
-                let tier = on(0);
+                let bit_set = |bit: u32| bits & (1 << bit) != 0;
+                let tier = bit_set(0);
                 let mut servers = vec![NamedServer { id: "n1".into(), address: "10.1.0.1:6379".into() }];
-                if !tier && on(1) {
+                if !tier && bit_set(1) {
                     servers.clear();
                 }
-                let answers = SidecarSpec {
+                let spec = SidecarSpec {
                     app: "profiles".into(),
                     profile,
                     tenant: "silverlight".into(),
-                    listen: if on(2) { "/run/mothpier/p.sock".into() } else { "127.0.0.1:6379".into() },
+                    listen: if bit_set(2) { "/run/mothpier/p.sock".into() } else { "127.0.0.1:6379".into() },
                     discovery: (!tier).then(|| "127.0.0.1:8500".into()),
-                    nodes: if on(3) { 200 } else { 1 },
-                    me: if on(3) { 199 } else { 0 },
+                    nodes: if bit_set(3) { 200 } else { 1 },
+                    me: if bit_set(3) { 199 } else { 0 },
                     servers,
-                    origin: on(4).then(|| "10.2.0.1:80".into()),
+                    origin: bit_set(4).then(|| "10.2.0.1:80".into()),
                     origin_limits: (80.0, 400.0),
                     quota: 150.0,
-                    copies: on(5),
-                    machine: on(1).then(|| "web-1".into()),
+                    copies: bit_set(5),
+                    machine: bit_set(1).then(|| "web-1".into()),
                     form,
                 };
-                let text = write(&answers, "--app profiles");
+                let text = write(&spec, "--app profiles");
                 assert_eq!(command_arguments(&text), Some("--app profiles"));
                 let checked = check(text.as_bytes(), form, &Hosts::default());
                 assert!(checked.findings.is_empty(), "{text}\n{:#?}", checked.findings);
                 let app = checked.app.unwrap();
                 let json = render(&app).to_string();
-                let back = check(json.as_bytes(), Form::Json, &Hosts::default());
-                assert!(back.findings.is_empty(), "{json}\n{:#?}", back.findings);
-                // What a node is started with says the same, but for what only people need.
-                let (said, node) = (settings(&app), settings(&back.app.unwrap()));
-                for s in
-                    said.iter().filter(|s| !s.path.starts_with("listen.mode") && s.path != "origin.address")
+                let rendered = check(json.as_bytes(), Form::Json, &Hosts::default());
+                assert!(rendered.findings.is_empty(), "{json}\n{:#?}", rendered.findings);
+                // The rendered file has the same settings, except for those that only people need.
+                let (written, node) = (settings(&app), settings(&rendered.app.unwrap()));
+                for s in written
+                    .iter()
+                    .filter(|s| !s.path.starts_with("listen.mode") && s.path != "origin.address")
                 {
-                    let same = node.iter().find(|n| n.path == s.path).map(|n| &n.value);
-                    assert_eq!(same, Some(&s.value), "{}", s.path);
+                    let node_value = node.iter().find(|n| n.path == s.path).map(|n| &n.value);
+                    assert_eq!(node_value, Some(&s.value), "{}", s.path);
                 }
                 count += 1;
             }
@@ -106,7 +108,7 @@
     assert_eq!(count, 3 * 2 * 64);
 }
 
-/// The names that a block knows, as the finding for an unknown one lists them.
+/// Returns the keys that a block knows, as the finding for an unknown key lists them.
 fn known_keys(block: &str) -> BTreeSet<String> {
     let text = match block {
         "" => "zzzzzz = 1\n".to_owned(),
@@ -125,7 +127,7 @@
 }
 
 #[test]
-fn the_schema_knows_the_names_that_the_reader_knows() {
+fn the_schema_and_the_reader_know_the_same_names() {
     let schema = mothpier_config::schema::schema();
     let names = |part: &serde_json::Value| -> BTreeSet<String> {
         part["properties"].as_object().unwrap().keys().cloned().collect()
@@ -152,11 +154,11 @@
 }
 
 #[test]
-fn a_change_of_any_setting_is_told_with_what_it_takes() {
+fn changes_are_listed_with_when_they_take_effect() {
     use mothpier_config::changes::{AppliesAt, changes};
-    let canonical = String::from_utf8(file("plain.hcl")).unwrap();
+    let plain = String::from_utf8(good_file("plain.hcl")).unwrap();
     let app = |text: &str| check(text.as_bytes(), Form::Hcl, &Hosts::default()).app.unwrap();
-    assert!(changes(&app(&canonical), &app(&canonical)).is_empty());
+    assert!(changes(&app(&plain), &app(&plain)).is_empty());
     let mut count = 0;
     for (old, new, path) in [
         ("127.0.0.1:8500", "127.0.0.1:8501", "discovery.address"),
@@ -168,15 +170,15 @@
         ("outstanding = 80", "outstanding = 81", "origin.outstanding"),
         ("class \"send-interest\"", "class \"send-hello\"", "class.send-hello.effect"),
     ] {
-        let all = changes(&app(&canonical), &app(&canonical.replacen(old, new, 1)));
-        let change = all.iter().find(|c| c.path == path).unwrap_or_else(|| panic!("{path}: {all:?}"));
+        let found = changes(&app(&plain), &app(&plain.replacen(old, new, 1)));
+        let change = found.iter().find(|c| c.path == path).unwrap_or_else(|| panic!("{path}: {found:?}"));
         let applies_at = if path == "discovery.address" { AppliesAt::Reload } else { AppliesAt::Restart };
         assert_eq!(change.applies_at, applies_at, "{path}");
         count += 1;
     }
     assert_eq!(count, 8);
     assert!(
-        check(canonical.as_bytes(), Form::Hcl, &Hosts::default())
+        check(plain.as_bytes(), Form::Hcl, &Hosts::default())
             .findings
             .iter()
             .all(|f| f.severity != Severity::Error)
