--- a/crates/mothpier-config/src/app.rs
+++ b/crates/mothpier-config/src/app.rs
@@ -1,5 +1,5 @@
-//! The configuration model, shared by both kinds of file: an application's own file and the file that a node is started
-//! with. Also reads an application's file. Every setting keeps the position that it was read from.
+//! The configuration model, shared by both kinds of file: an application's own file and the file that a node
+//! is started with. Also reads an application's file. Every setting keeps the position that it was read from.
 
 use std::time::Duration;
 
@@ -225,7 +225,8 @@
     pub attempts: Spanned<u64>,
     /// Whether a safe request may have two attempts pending.
     pub copies: Spanned<bool>,
-    /// Share of requests that may be retried after they may have run; a request that never ran is always retried.
+    /// Share of requests that may be retried after they may have run; a request that never ran is always
+    /// retried.
     pub budget: Spanned<f64>,
     /// Time-out for connecting.
     pub connect_timeout: Spanned<Duration>,
@@ -271,7 +272,8 @@
 pub struct App {
     /// Kind of file that it was read from.
     pub kind: FileKind,
-    /// Whether the node is an application's sidecar. Violated rules are errors for sidecars and warnings for other nodes.
+    /// Whether the node is an application's sidecar. Violated rules are errors for sidecars and warnings for
+    /// other nodes.
     pub sidecar: bool,
     /// Name of the application.
     pub name: Spanned<String>,
@@ -329,8 +331,8 @@
     MIN_DURATION..=longest
 }
 
-/// Reads an application's file. Reports settings that can't be read, and returns an [`App`] only if all required settings
-/// could be read.
+/// Reads an application's file. Reports settings that can't be read, and returns an [`App`] only if all
+/// required settings could be read.
 pub fn read(node: &TreeNode, hosts: &Hosts, findings: &mut Vec<Finding>) -> Option<App> {
     let mut root = Block::from_node(node, "", findings)?;
     root.span = 0..node.span.end.min(1);
@@ -350,7 +352,7 @@
         && me.value >= nodes.value
     {
         let problem = format!("`me` is {} of {} nodes", me.value, nodes.value);
-        let fix = "numbers begin with 0";
+        let fix = "numbers start from 0";
         findings.push(
             Finding::error(code::OUT_OF_RANGE, me.span.clone(), problem, fix)
                 .with_related(nodes.span.clone(), "the number of nodes"),
@@ -463,7 +465,7 @@
         let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
         let name = block.full_name(key);
         if text.value.is_empty() || text.value.len() > 64 || !text.value.bytes().all(is_allowed) {
-            let problem = format!("`{name}` holds {:?}, which is no name", text.value);
+            let problem = format!("`{name}` holds {:?}, which is not a valid name", text.value);
             findings.push(Finding::error(code::BAD_NAME, text.span, problem, code::BAD_NAME.fix()));
         } else if let Some(before) = names.iter().find(|n| n.value == text.value) {
             let problem = format!("`{name}` holds {:?} twice", text.value);
@@ -495,7 +497,7 @@
                 code::WRONG_TYPE,
                 m.span.clone(),
                 problem,
-                "write four octal digits, as \"0660\"",
+                "write four octal digits, such as \"0660\"",
             ));
         }
         mode.map(|mode| Spanned::new(mode, m.span))
@@ -510,7 +512,7 @@
 fn read_limits(file: &mut Block<'_>, findings: &mut Vec<Finding>) -> Option<Limits> {
     let Some(mut block) = file.block("limits", findings) else {
         if file.entry("limits").is_none() {
-            let fix = "write `limits { memory = \"64 MiB\" sockets = 512 open = 200 connections = 128 }`, a line each";
+            let fix = "write `limits { memory = \"64 MiB\" sockets = 512 open = 200 connections = 128 }`, each on its own line";
             findings.push(Finding::error(code::MISSING, file.span.clone(), "there is no `limits`", fix));
         }
         return None;
--- a/crates/mothpier-config/src/block.rs
+++ b/crates/mothpier-config/src/block.rs
@@ -35,7 +35,7 @@
             }
             other => {
                 let name = if path.is_empty() { "the file".to_owned() } else { format!("`{path}`") };
-                let problem = format!("{name} is {} where a block is wanted", other.kind());
+                let problem = format!("{name} is {} where a block is expected", other.kind());
                 findings.push(Finding::error(
                     code::WRONG_TYPE,
                     node.span.clone(),
@@ -65,7 +65,7 @@
 
     fn report_wrong_type(&self, entry: &Entry, wanted: &str, findings: &mut Vec<Finding>) {
         let problem = format!(
-            "`{}` is {} where {wanted} is wanted",
+            "`{}` is {} where {wanted} is expected",
             self.full_name(&entry.key),
             entry.node.value.kind()
         );
@@ -79,7 +79,7 @@
         match &entry.node.value {
             Value::Text(string) => Some(Spanned::new(string.clone(), entry.node.span.clone())),
             _ => {
-                self.report_wrong_type(entry, "a text", findings);
+                self.report_wrong_type(entry, "a string", findings);
                 None
             }
         }
@@ -90,7 +90,8 @@
         let string = self.string(key, findings)?;
         let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
         if string.value.is_empty() || string.value.len() > 64 || !string.value.bytes().all(is_allowed) {
-            let problem = format!("`{}` is {:?}, which is no name", self.full_name(key), string.value);
+            let problem =
+                format!("`{}` is {:?}, which is not a valid name", self.full_name(key), string.value);
             findings.push(Finding::error(code::BAD_NAME, string.span.clone(), problem, code::BAD_NAME.fix()));
             return None;
         }
@@ -123,7 +124,7 @@
         };
         if !bounds.contains(&number) {
             let problem = format!("`{}` is {number}", self.full_name(key));
-            let fix = format!("take a number from {} to {}", bounds.start(), bounds.end());
+            let fix = format!("use a number from {} to {}", bounds.start(), bounds.end());
             findings.push(Finding::error(code::OUT_OF_RANGE, entry.node.span.clone(), problem, fix));
             return None;
         }
@@ -139,8 +140,8 @@
     ) -> Option<Spanned<u64>> {
         let number = self.number(key, *bounds.start() as f64..=*bounds.end() as f64, findings)?;
         if number.value.fract() != 0.0 {
-            let problem = format!("`{}` is {}, which is no whole number", self.full_name(key), number.value);
-            findings.push(Finding::error(code::WRONG_TYPE, number.span, problem, "write a whole number"));
+            let problem = format!("`{}` is {}, which is not an integer", self.full_name(key), number.value);
+            findings.push(Finding::error(code::WRONG_TYPE, number.span, problem, "write an integer"));
             return None;
         }
         Some(Spanned { value: number.value as u64, span: number.span, explicit: true })
@@ -157,7 +158,7 @@
         let entry = self.entry(key)?;
         let span = entry.node.span.clone();
         let name = self.full_name(key);
-        let range_fix = format!("take one from {} to {}", show(bounds.start()), show(bounds.end()));
+        let range_fix = format!("use one from {} to {}", show(bounds.start()), show(bounds.end()));
         let string = match &entry.node.value {
             Value::Text(string) => string,
             Value::Number(n) => {
@@ -167,7 +168,7 @@
                 return None;
             }
             _ => {
-                self.report_wrong_type(entry, &format!("a text as {example:?}"), findings);
+                self.report_wrong_type(entry, &format!("a string such as {example:?}"), findings);
                 return None;
             }
         };
@@ -227,7 +228,7 @@
             let problem = format!("`{}` is {:?}", self.full_name(key), string.value);
             let fix = match closest_match(&string.value, names.iter().copied()) {
                 Some(suggestion) => format!("did you mean {suggestion:?}? It is one of {}", names.join(", ")),
-                None => format!("take one of {}", names.join(", ")),
+                None => format!("use one of {}", names.join(", ")),
             };
             findings.push(Finding::error(code::UNKNOWN_VALUE, string.span.clone(), problem, fix));
         }
@@ -242,7 +243,7 @@
     ) -> Option<Spanned<Vec<Spanned<String>>>> {
         let entry = self.entry(key)?;
         let Value::List(nodes) = &entry.node.value else {
-            self.report_wrong_type(entry, "a list of texts", findings);
+            self.report_wrong_type(entry, "a list of strings", findings);
             return None;
         };
         let mut strings = Vec::with_capacity(nodes.len());
@@ -250,13 +251,16 @@
             match &node.value {
                 Value::Text(string) => strings.push(Spanned::new(string.clone(), node.span.clone())),
                 other => {
-                    let problem =
-                        format!("`{}` holds {} where a text is wanted", self.full_name(key), other.kind());
+                    let problem = format!(
+                        "`{}` holds {} where a string is expected",
+                        self.full_name(key),
+                        other.kind()
+                    );
                     findings.push(Finding::error(
                         code::WRONG_TYPE,
                         node.span.clone(),
                         problem,
-                        "write a list of texts",
+                        "write a list of strings",
                     ));
                 }
             }
@@ -295,7 +299,7 @@
         let Value::List(nodes) = &entry.node.value else {
             let fix = format!("write `{key} \"NAME\" {{ }}` in HCL, `[[{key}]]` with a `name` in TOML");
             let problem = format!(
-                "`{}` is {} where named blocks are wanted",
+                "`{}` is {} where named blocks are expected",
                 self.full_name(key),
                 entry.node.value.kind()
             );
@@ -313,15 +317,10 @@
                 continue;
             };
             if let Some((before, _)) = named_blocks.iter().find(|(b, _)| b.value == name.value) {
-                let problem = format!("there are two of `{key}` {:?}", name.value);
+                let problem = format!("there are two `{key}` blocks named {:?}", name.value);
                 findings.push(
-                    Finding::error(
-                        code::DUPLICATE_KEY,
-                        name.span.clone(),
-                        problem,
-                        "keep the one that is meant",
-                    )
-                    .with_related(before.span.clone(), "the first one"),
+                    Finding::error(code::DUPLICATE_KEY, name.span.clone(), problem, "keep the intended one")
+                        .with_related(before.span.clone(), "the first one"),
                 );
                 continue;
             }
--- a/crates/mothpier-config/src/changes.rs
+++ b/crates/mothpier-config/src/changes.rs
@@ -1,4 +1,5 @@
-//! Compares two configurations setting by setting, with the meaning of each setting and when a change takes effect.
+//! Compares two configurations setting by setting, with the meaning of each setting and when a change takes
+//! effect.
 
 use crate::app::{App, COMMANDS, EFFECTS, SCOPES, STATES, UPSTREAMS};
 use crate::units::{format_duration, format_size};
--- a/crates/mothpier-config/src/endpoint.rs
+++ b/crates/mothpier-config/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! Network endpoints: parses the spellings in use and brings them into a canonical form in which they can be compared.
-//! Names are resolved from a hosts file that the caller passes in; there are no DNS look-ups.
+//! Network endpoints: parses the spellings in use and brings them into a canonical form in which they can be
+//! compared. Names are resolved from a hosts file that the caller passes in; there are no DNS look-ups.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -65,9 +65,9 @@
 impl fmt::Display for EndpointError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            EndpointError::Empty => f.write_str("there is nothing"),
+            EndpointError::Empty => f.write_str("it is empty"),
             EndpointError::NoPort => f.write_str("the port is missing"),
-            EndpointError::Port(port) => write!(f, "{port:?} is no port from 1 to 65535"),
+            EndpointError::Port(port) => write!(f, "{port:?} is not a port from 1 to 65535"),
             EndpointError::Host(host) => {
                 write!(f, "{host:?} is neither an address nor a name (RFC 1123, section 2.1)")
             }
@@ -155,8 +155,8 @@
     Some((Host::Name(name, address), false))
 }
 
-/// Parses an IPv4 address in the forms of inet_aton(3): one to four decimal, octal or hexadecimal numbers, the last of
-/// which fills the remaining bytes. Called only for texts that the strict parser rejects.
+/// Parses an IPv4 address in the forms of inet_aton(3): one to four decimal, octal or hexadecimal numbers,
+/// the last of which fills the remaining bytes. Called only for texts that the strict parser rejects.
 fn parse_inet_aton(text: &str) -> Option<Ipv4Addr> {
     let parts: Vec<&str> = text.strip_suffix('.').unwrap_or(text).split('.').collect();
     if parts.len() > 4 {
--- a/crates/mothpier-config/src/endpoint/tests.rs
+++ b/crates/mothpier-config/src/endpoint/tests.rs
@@ -36,14 +36,14 @@
 #[test]
 fn invalid_endpoints_are_rejected_with_a_reason() {
     for (text, error) in [
-        ("", "there is nothing"),
-        ("10.1.0.7:0", "\"0\" is no port"),
-        ("10.1.0.7:+80", "\"+80\" is no port"),
-        ("10.1.0.7:70000", "\"70000\" is no port"),
+        ("", "it is empty"),
+        ("10.1.0.7:0", "\"0\" is not a port"),
+        ("10.1.0.7:+80", "\"+80\" is not a port"),
+        ("10.1.0.7:70000", "\"70000\" is not a port"),
         ("10.1.0.256", "neither an address nor a name"),
         ("-bad.example", "neither an address nor a name"),
         ("[::1", "neither an address nor a name"),
-        ("[::1]6379", "\"6379\" is no port"),
+        ("[::1]6379", "\"6379\" is not a port"),
         ("a b", "neither an address nor a name"),
         ("1.2.3.4.5", "neither an address nor a name"),
     ] {
--- a/crates/mothpier-config/src/fleet.rs
+++ b/crates/mothpier-config/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Checks a set of configurations together: the sidecars of one machine, or a whole fleet with its shared tier.
+//! Checks a set of configurations together: the sidecars of one machine, or a whole fleet with its shared
+//! tier.
 
 use std::collections::BTreeMap;
 
@@ -44,7 +45,8 @@
             listen.unix.as_ref().map(|u| (u.value.clone(), u.span.clone())),
         ];
         for (listener, span) in listeners.into_iter().flatten() {
-            // Each machine has its own loopback addresses and paths; any other address is unique across machines.
+            // Each machine has its own loopback addresses and paths; any other address is unique across
+            // machines.
             let per_machine = listen.unix.is_some()
                 || listen
                     .address
@@ -212,7 +214,8 @@
     }
 }
 
-/// Checks the shares of the origin: each node takes the limit divided by the number of nodes that its file states.
+/// Checks the shares of the origin: each node takes the limit divided by the number of nodes that its file
+/// states.
 fn check_origin_shares(set: &[Member<'_>], files: &[usize], findings: &mut Vec<FleetFinding>) {
     type LimitOf = fn(&App) -> Option<&Spanned<f64>>;
     let limits: [(&str, LimitOf); 2] = [
@@ -230,7 +233,7 @@
         };
         if sum > limit.value * (1.0 + 1e-9) {
             let problem = format!(
-                "the parts of {} files come to {sum:.1} of origin.{setting}, and it takes {}",
+                "the shares of {} files add up to {sum:.1} of origin.{setting}, and the limit is {}",
                 files.len(),
                 limit.value
             );
@@ -264,7 +267,8 @@
                 continue;
             };
             if !peer_endpoints[other].contains(&own) {
-                let problem = format!("{} is named here, and does not name {own}", set[*other].file);
+                let problem =
+                    format!("{} is named as a peer here, but does not name {own}", set[*other].file);
                 let fix = code::ONE_SIDED_PEER.fix();
                 findings
                     .push((*index, Finding::error(code::ONE_SIDED_PEER, peer.span.clone(), problem, fix)));
--- a/crates/mothpier-config/src/lib.rs
+++ b/crates/mothpier-config/src/lib.rs
@@ -1,9 +1,10 @@
-//! The configuration of a mothpier node and its checks: the file that a person writes for an application (HCL or TOML)
-//! and the file that a node is started with (JSON). The crate does no I/O: it takes bytes and returns findings. The node,
-//! `mothpierctl` and tests all call [`check`].
+//! The configuration of a mothpier node and its checks: the file that a person writes for an application (HCL
+//! or TOML) and the file that a node is started with (JSON). The crate does no I/O: it takes bytes and
+//! returns findings. The node, `mothpierctl` and tests all call [`check`].
 //!
-//! Data flows one way: `read` parses bytes into a `tree`, `app` and `node` turn a tree into an [`App`], `rules` and
-//! `fleet` check it, and `render`, `changes` and `profile` produce output. Every finding has a stable [`code`].
+//! Data flows one way: `read` parses bytes into a `tree`, `app` and `node` turn a tree into an [`App`],
+//! `rules` and `fleet` check it, and `render`, `changes` and `profile` produce output. Every finding has a
+//! stable [`code`].
 
 pub mod app;
 pub mod block;
@@ -54,7 +55,8 @@
     // A file that could not be read at all does not count as the platform's.
     let is_platform_file = app.as_ref().is_some_and(|a| !a.sidecar) && !node::is_sidecar(&tree);
     if form == Form::Json && is_platform_file {
-        // The platform writes and is responsible for these files; a node's own parser rejects what it can't start with.
+        // The platform writes and is responsible for these files; a node's own parser rejects what it can't
+        // start with.
         findings.iter_mut().for_each(|f| f.severity = Severity::Warning);
     }
     if let Some(app) = &app {
--- a/crates/mothpier-config/src/node.rs
+++ b/crates/mothpier-config/src/node.rs
@@ -1,5 +1,6 @@
-//! Reads the JSON file that a node is started with into the same [`App`] as an application's file. The platform writes
-//! such files, and [`crate::render`] does for a sidecar. Unknown keys in `settings` are ignored, as a node ignores them.
+//! Reads the JSON file that a node is started with into the same [`App`] as an application's file. The
+//! platform writes such files, and [`crate::render`] does for a sidecar. Unknown keys in `settings` are
+//! ignored, as a node ignores them.
 
 use std::time::Duration;
 
@@ -19,8 +20,8 @@
 /// Accepts any number: the rules check its range.
 const ANY_NUMBER: std::ops::RangeInclusive<f64> = f64::MIN..=f64::MAX;
 
-/// Reads a node's file. The caller turns findings into warnings unless the node is a sidecar: the platform is responsible
-/// for the other files, and a node's own parser rejects what it can't start with.
+/// Reads a node's file. The caller turns findings into warnings unless the node is a sidecar: the platform is
+/// responsible for the other files, and a node's own parser rejects what it can't start with.
 pub fn read(node: &TreeNode, hosts: &Hosts, findings: &mut Vec<Finding>) -> Option<App> {
     let mut root = Block::from_node(node, "", findings)?;
     root.span = 0..node.span.end.min(1);
@@ -178,8 +179,8 @@
 fn read_settings(file: &mut Block<'_>, findings: &mut Vec<Finding>) -> Option<Settings> {
     let Some(mut block) = file.block("settings", findings) else {
         if file.entry("settings").is_none() {
-            let fix = "hand over what `mothpierctl render` writes";
-            findings.push(Finding::error(code::MISSING, file.span.clone(), "`settings` are missing", fix));
+            let fix = "pass a file that `mothpierctl render` writes";
+            findings.push(Finding::error(code::MISSING, file.span.clone(), "`settings` is missing", fix));
         }
         return None;
     };
@@ -202,7 +203,7 @@
         findings.push(Finding::error(
             code::MISSING,
             span.clone(),
-            "`settings.classes` has none",
+            "`settings.classes` is empty",
             "name each class",
         ));
     }
@@ -268,7 +269,7 @@
             nodes.iter().filter_map(|n| Block::from_node(n, &name, findings)).collect()
         }
         other => {
-            let problem = format!("`{name}` is {} where a list is wanted", other.kind());
+            let problem = format!("`{name}` is {} where a list is expected", other.kind());
             findings.push(Finding::error(code::WRONG_TYPE, entry.node.span.clone(), problem, "write a list"));
             Vec::new()
         }
--- a/crates/mothpier-config/src/permissions.rs
+++ b/crates/mothpier-config/src/permissions.rs
@@ -16,7 +16,7 @@
         ));
     }
     if mode & 0o044 != 0 && findings.iter().any(|f| f.code == code::EMBEDDED_SECRET) {
-        let problem = format!("the file's mode is {shown}, and a secret stands in it");
+        let problem = format!("the file's mode is {shown}, and it contains a secret");
         findings.push(Finding::error(
             code::SECRET_READABLE_BY_OTHERS,
             0..0,
--- a/crates/mothpier-config/src/profile.rs
+++ b/crates/mothpier-config/src/profile.rs
@@ -187,8 +187,8 @@
     }
 }
 
-/// Returns the text of the file. `command_arguments` are recorded in it, so that a later run can reproduce what this one
-/// wrote and merge changes.
+/// Returns the text of the file. `command_arguments` are recorded in it, so that a later run can reproduce
+/// what this one wrote and merge changes.
 pub fn write(spec: &SidecarSpec, command_arguments: &str) -> String {
     let mut writer = Writer { text: String::new(), form: spec.form, in_block: false };
     let tier = spec.discovery.is_none();
--- a/crates/mothpier-config/src/read.rs
+++ b/crates/mothpier-config/src/read.rs
@@ -1,5 +1,5 @@
-//! Parses bytes into a tree. Rejects input that could exhaust memory, time or the stack, and input that different
-//! parsers would interpret differently.
+//! Parses bytes into a tree. Rejects input that could exhaust memory, time or the stack, and input that
+//! different parsers would interpret differently.
 
 mod hcl;
 mod json;
@@ -11,8 +11,8 @@
 use crate::finding::Finding;
 use crate::tree::TreeNode;
 
-/// Largest file, in bytes. A configuration is a few KB; a node's file with a list of 10,000 cache servers is 2 MB, and
-/// with the longest list that a node accepts 4 MB.
+/// Largest file, in bytes. A configuration is a few KB; a node's file with a list of 10,000 cache servers is
+/// 2 MB, and with the longest list that a node accepts 4 MB.
 pub const MAX_FILE_BYTES: usize = 8 << 20;
 /// Deepest nesting of brackets; the most deeply nested setting needs four.
 const MAX_DEPTH: usize = 32;
@@ -49,20 +49,21 @@
     let lossy = || String::from_utf8_lossy(&bytes[..bytes.len().min(MAX_FILE_BYTES)]).into_owned();
     if bytes.len() > MAX_FILE_BYTES {
         let problem = format!("the file has {} bytes or more; the most is {MAX_FILE_BYTES}", bytes.len());
-        let fix = "look whether it is the file that was meant";
+        let fix = "check that it is the intended file";
         return Err((String::new(), vec![Finding::error(code::TOO_LARGE, 0..0, problem, fix)]));
     }
     let text = match std::str::from_utf8(bytes) {
         Ok(text) => text,
         Err(e) => {
-            // The lossy text replaces invalid bytes by a character of another length, so the position is computed in it.
+            // The lossy text replaces invalid bytes by a character of another length, so the position is
+            // computed in it.
             let at = String::from_utf8_lossy(&bytes[..e.valid_up_to()]).len();
-            let problem = format!("byte {} is no UTF-8", e.valid_up_to());
+            let problem = format!("byte {} is not UTF-8", e.valid_up_to());
             let finding = Finding::error(
                 code::NOT_UTF8,
                 at..at + 1,
                 problem,
-                "write the file as UTF-8 and type it anew",
+                "save the file as UTF-8 and retype the character",
             );
             return Err((lossy(), vec![finding]));
         }
@@ -81,7 +82,7 @@
             code::TOO_DEEP,
             at..at + 1,
             format!("more than {MAX_DEPTH} brackets are open here"),
-            "no setting stands deeper than four; look for one that was never closed",
+            "no setting is nested deeper than four; look for a bracket that was never closed",
         );
         return Err((text.to_owned(), vec![finding]));
     }
@@ -96,8 +97,8 @@
     }
 }
 
-/// Returns the position at which brackets are nested deeper than [`MAX_DEPTH`]: the parsers recurse once per bracket and
-/// would overflow the stack. For simplicity brackets in strings and comments count, too.
+/// Returns the position at which brackets are nested deeper than [`MAX_DEPTH`]: the parsers recurse once per
+/// bracket and would overflow the stack. For simplicity brackets in strings and comments count, too.
 fn find_excess_nesting(text: &str) -> Option<usize> {
     let mut depth = 0usize;
     for (at, byte) in text.bytes().enumerate() {
@@ -123,18 +124,18 @@
             code::CUT_OFF,
             start..end.max(start),
             format!("the file ends in the middle: {message}"),
-            "take the whole file, and write files to a temporary name first, then rename them",
+            "use the whole file, and write files to a temporary name first, then rename them",
         )];
     }
     let at = (0..=at).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
     let width = text[at..].chars().next().map_or(0, char::len_utf8);
-    vec![Finding::error(code::SYNTAX, at..at + width, message.to_owned(), "mend the line that is shown")]
+    vec![Finding::error(code::SYNTAX, at..at + width, message.to_owned(), "fix the line that is shown")]
 }
 
 /// Creates the finding for a duplicate key.
 fn duplicate_key(key: &str, first: Option<crate::tree::Span>, second: crate::tree::Span) -> Finding {
-    let problem = format!("`{key}` stands twice in one block");
-    let finding = Finding::error(code::DUPLICATE_KEY, second, problem, "keep the one that is meant");
+    let problem = format!("`{key}` is set twice in one block");
+    let finding = Finding::error(code::DUPLICATE_KEY, second, problem, "keep the intended one");
     match first {
         Some(first) => finding.with_related(first, "the first one"),
         None => finding,
--- a/crates/mothpier-config/src/read/hcl.rs
+++ b/crates/mothpier-config/src/read/hcl.rs
@@ -11,7 +11,7 @@
 
 pub fn read(text: &str) -> Result<TreeNode, Vec<Finding>> {
     if let Some((span, problem)) = find_expression(text) {
-        let fix = "write the value itself; texts stand in double quotes";
+        let fix = "write the value itself; strings are in double quotes";
         return Err(vec![Finding::error(code::EXPRESSION, span, problem, fix)]);
     }
     let whole = 0..text.len();
@@ -32,8 +32,9 @@
     if findings.is_empty() { Ok(node) } else { Err(findings) }
 }
 
-/// Returns the position of the first expression: an operator, a call or a template. This runs before the parser, which
-/// would recurse once for each of them. Strings and comments are skipped, except for templates in strings.
+/// Returns the position of the first expression: an operator, a call or a template. This runs before the
+/// parser, which would recurse once for each of them. Strings and comments are skipped, except for templates
+/// in strings.
 fn find_expression(text: &str) -> Option<(Span, &'static str)> {
     let bytes = text.as_bytes();
     let mut position = 0;
@@ -51,7 +52,7 @@
                 position += 1;
                 while position < bytes.len() && bytes[position] != b'"' && bytes[position] != b'\n' {
                     if bytes[position..].starts_with(b"${") || bytes[position..].starts_with(b"%{") {
-                        return Some((position..position + 2, "a template stands in a text"));
+                        return Some((position..position + 2, "a string contains a template"));
                     }
                     position += if bytes[position] == b'\\' { 2 } else { 1 };
                 }
@@ -63,10 +64,10 @@
                 position += 1
             }
             b'!' | b'?' | b'$' | b'%' | b'(' | b'<' | b'>' | b'&' | b'|' | b'+' | b'*' | b'/' | b'-' => {
-                return Some((position..position + 1, "an expression stands where a value is wanted"));
+                return Some((position..position + 1, "an expression is used where a value is expected"));
             }
             b'=' if next == Some(b'=') => {
-                return Some((position..position + 2, "an expression stands where a value is wanted"));
+                return Some((position..position + 2, "an expression is used where a value is expected"));
             }
             _ => position += 1,
         }
@@ -160,8 +161,8 @@
         }
         _ => {
             let (problem, fix) = (
-                "a name stands where a value is wanted",
-                "write the value itself; texts stand in double quotes",
+                "a name is used where a value is expected",
+                "write the value itself; strings are in double quotes",
             );
             findings.push(Finding::error(code::EXPRESSION, span.clone(), problem, fix));
             Value::Null
--- a/crates/mothpier-config/src/read/json.rs
+++ b/crates/mothpier-config/src/read/json.rs
@@ -30,7 +30,7 @@
         syntax_error(text, at, &lowercase_first(&e.kind().to_string()))
     })?;
     let Some(value) = parsed.value else {
-        return Err(syntax_error(text, text.len(), "there is nothing in it"));
+        return Err(syntax_error(text, text.len(), "it is empty"));
     };
     let mut duplicates = Vec::new();
     let node = node(&value, &mut duplicates);
--- a/crates/mothpier-config/src/render.rs
+++ b/crates/mothpier-config/src/render.rs
@@ -1,5 +1,5 @@
-//! Renders the JSON file that a node is started with from an application's file. The format is the platform's, with a
-//! `sidecar` section that ties the node to its application.
+//! Renders the JSON file that a node is started with from an application's file. The format is the
+//! platform's, with a `sidecar` section that ties the node to its application.
 
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
     if names.is_empty() { vec![default.to_owned()] } else { names.iter().map(|n| n.value.clone()).collect() }
 }
 
-/// Renders the node's configuration for an application. Endpoints without a known address are left out, which happens
-/// only if the configuration was not checked first.
+/// Renders the node's configuration for an application. Endpoints without a known address are left out, which
+/// happens only if the configuration was not checked first.
 pub fn render(app: &App) -> Value {
     let zones = names_or_default(&app.zones, DEFAULT_ZONE);
     let mut kinds = names_or_default(&app.kinds, DEFAULT_KIND);
--- a/crates/mothpier-config/src/rules/effects.rs
+++ b/crates/mothpier-config/src/rules/effects.rs
@@ -36,7 +36,7 @@
         );
     }
     for (flag, description) in
-        [(&class.repeat, "marked safe to repeat"), (&class.copies, "copied while the first is out")]
+        [(&class.repeat, "marked safe to repeat"), (&class.copies, "copied while the first is pending")]
     {
         let Some(flag) = flag.as_ref().filter(|f| f.value) else { continue };
         match class.effect.value {
@@ -58,7 +58,7 @@
                 )
                 .with_related(
                     class.effect.span.clone(),
-                    "its key is known to a box only once the first copy has come",
+                    "a box knows its key only once the first copy has arrived",
                 ),
             ),
             _ => {}
@@ -79,7 +79,7 @@
                 code::WRITE_NAME_MARKED_SAFE,
                 class.effect.span.clone(),
                 format!(
-                    "class {:?} is marked as safe to repeat, and its name says that it does something",
+                    "class {:?} is marked as safe to repeat, but its name suggests a write",
                     class.name.value
                 ),
                 "set effect to \"unsafe\" or \"keyed\"; a class that only reads needs another name",
@@ -113,7 +113,7 @@
     match &class.window {
         None => {
             let problem = format!("class {name:?} is keyed and has no window");
-            let fix = "write `window`: for how long boxes drop a repeat of a key";
+            let fix = "write `window`: how long boxes drop a repeat of a key";
             findings.push(Finding::error(code::NO_WINDOW, class.effect.span.clone(), problem, fix));
         }
         Some(window) if window.value < class.deadline.value => findings.push(
@@ -127,7 +127,7 @@
                 ),
                 format!("set `deadline` to {} or less", format_duration(window.value)),
             )
-            .with_related(class.deadline.span.clone(), "repeats may come until then"),
+            .with_related(class.deadline.span.clone(), "repeats may arrive until then"),
         ),
         Some(_) => {}
     }
--- a/crates/mothpier-config/src/rules/listening.rs
+++ b/crates/mothpier-config/src/rules/listening.rs
@@ -13,9 +13,9 @@
     let listen = &app.listen;
     if app.kind == FileKind::Application && listen.address.is_some() == listen.unix.is_some() {
         let problem = if listen.unix.is_some() {
-            "there are two places to listen at"
+            "there are two addresses to listen on"
         } else {
-            "there is no place to listen at"
+            "there is no address to listen on"
         };
         findings.push(Finding::error(
             code::LISTENER_COUNT,
@@ -38,7 +38,7 @@
             }
             Host::Ip(ip) | Host::Name(_, Some(ip)) if ip.is_loopback() => {}
             Host::Ip(_) | Host::Name(..) => {
-                let problem = format!("{endpoint} is no address of loopback");
+                let problem = format!("{endpoint} is not a loopback address");
                 findings.push(Finding::error(
                     code::LISTENER_NOT_LOOPBACK,
                     address.span.clone(),
@@ -73,8 +73,8 @@
     check_upstream(app, findings);
 }
 
-/// Checks that a sidecar follows the server list exactly if it sends requests to cache servers, and that a sidecar of the
-/// shared tier names a ready node: the list contains cache servers, not nodes of the tier.
+/// Checks that a sidecar follows the server list exactly if it sends requests to cache servers, and that a
+/// sidecar of the shared tier names a ready node: the list contains cache servers, not nodes of the tier.
 fn check_upstream(app: &App, findings: &mut Vec<Finding>) {
     if app.kind == FileKind::Node && !app.sidecar {
         return;
@@ -85,7 +85,7 @@
             Finding::error(
                 code::TIER_UPSTREAM_CONFLICT,
                 discovery.span.clone(),
-                "the list names boxes, and requests go to the shared tier",
+                "the server list contains boxes, and requests go to the shared tier",
                 "leave `discovery` out",
             )
             .with_related(app.upstream.span.clone(), "to the tier"),
@@ -102,7 +102,7 @@
         _ => {}
     }
     if tier && !app.servers.iter().any(|b| b.state.value == State::Ready) {
-        let problem = "no node of the tier is named that is ready";
+        let problem = "no ready node of the tier is named";
         let fix = "name each with `box`, its address and state \"ready\"";
         findings.push(Finding::error(code::TIER_UPSTREAM_CONFLICT, app.upstream.span.clone(), problem, fix));
     }
@@ -115,14 +115,14 @@
     let servers = app.servers.iter().filter_map(|b| Some((b.endpoint.as_ref()?, "a box")));
     let discovery = app.discovery.iter().map(|d| (d, "discovery"));
     let origin = app.origin.iter().filter_map(|o| Some((o.endpoint.as_ref()?, "the origin")));
-    let operator = app.operator.iter().map(|o| (o, "where its operators call"));
+    let operator = app.operator.iter().map(|o| (o, "the operators' address"));
     for (other, role) in servers
         .chain(discovery)
         .chain(origin)
         .chain(operator)
         .filter(|(p, _)| p.value.canonical() == own_endpoint)
     {
-        let problem = format!("{own_endpoint} is where the node listens, and {role}");
+        let problem = format!("{own_endpoint} is the node's own listener, and also {role}");
         findings.push(
             Finding::error(code::SELF_REFERENCE, other.span.clone(), problem, code::SELF_REFERENCE.fix())
                 .with_related(own.span.clone(), "it listens here"),
--- a/crates/mothpier-config/src/rules/servers.rs
+++ b/crates/mothpier-config/src/rules/servers.rs
@@ -1,4 +1,5 @@
-//! Checks the cache servers: unique ids and endpoints, known names, and that no draining server can get requests.
+//! Checks the cache servers: unique ids and endpoints, known names, and that no draining server can get
+//! requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -75,7 +76,7 @@
         let conflicting = states.0 != states.1 && (states.0 == State::Ready || states.1 == State::Ready);
         if conflicting {
             let problem = format!(
-                "{:?} and {:?} are one box, {endpoint}, which is ready and is not",
+                "{:?} and {:?} are one box, {endpoint}, which is ready in one entry and not in the other",
                 before.id.value, server.id.value
             );
             findings.push(
@@ -135,7 +136,7 @@
             )));
         }
         for name in app.pool.iter().filter(|name| refers_to(server, name)) {
-            let problem = problem("stands in the static pool");
+            let problem = problem("is in the static pool");
             let fix = code::DRAINED_IN_POOL.fix();
             findings.push(with_state(Finding::error(code::DRAINED_IN_POOL, name.span.clone(), problem, fix)));
         }
@@ -172,7 +173,7 @@
     let is_declared = |name: &Spanned<String>| app.servers.iter().any(|server| refers_to(server, name));
     if app.kind == FileKind::Application {
         for name in app.pool.iter().filter(|n| !is_declared(n)) {
-            findings.push(unknown(name, format!("the pool names {:?}, which is no box", name.value)));
+            findings.push(unknown(name, format!("the pool names {:?}, which is not declared", name.value)));
         }
     }
     let contains =
@@ -180,7 +181,7 @@
     for class in &app.classes {
         for name in class.servers.iter().flat_map(|names| &names.value).filter(|n| !is_declared(n)) {
             let problem =
-                format!("class {:?} is routed to {:?}, which is no box", class.name.value, name.value);
+                format!("class {:?} is routed to {:?}, which is not declared", class.name.value, name.value);
             findings.push(unknown(name, problem));
         }
         for (names, all, category) in [(&class.zones, &app.zones, "zone"), (&class.kinds, &app.kinds, "kind")]
@@ -248,7 +249,7 @@
             code::ORIGIN_LISTED_AS_SERVER,
             kind.span.clone(),
             problem,
-            "take it out of `kinds`",
+            "remove it from `kinds`",
         ));
     }
 }
--- a/crates/mothpier-config/src/rules/sizes.rs
+++ b/crates/mothpier-config/src/rules/sizes.rs
@@ -1,5 +1,5 @@
-//! Checks that memory, sockets and the origin suffice for the stated limits and traffic. The constants are those that the
-//! node itself uses.
+//! Checks that memory, sockets and the origin suffice for the stated limits and traffic. The constants are
+//! those that the node itself uses.
 
 use crate::app::{App, Command};
 use crate::code;
@@ -25,10 +25,11 @@
             code::SOCKETS_BELOW_MINIMUM,
             limits.sockets.span.clone(),
             problem,
-            "give it 64 at the least",
+            "give it at least 64",
         ));
     } else if let Some(connections) = &limits.connections {
-        // Half is for clients and half for cache servers and the origin, so that neither can starve the other.
+        // Half is for clients and half for cache servers and the origin, so that neither can starve the
+        // other.
         let client_sockets = (limits.sockets.value - OWN_SOCKETS) / 2;
         if connections.value > client_sockets {
             let problem = format!(
@@ -50,7 +51,7 @@
         let fleet_per_s = traffic.per_s.value * app.nodes.value as f64;
         if fleet_per_s > quota.per_s.value {
             let problem = format!(
-                "{} nodes send {fleet_per_s:.0} requests a second, and the quota is {}",
+                "{} nodes send {fleet_per_s:.0} requests per second, and the quota is {}",
                 app.nodes.value, quota.per_s.value
             );
             findings.push(
@@ -129,7 +130,7 @@
     let calls = traffic.per_s.value * nodes * (writes + (1.0 - writes) * traffic.misses.value);
     if let Some(per_s) = origin.per_s.as_ref().filter(|p| calls > p.value) {
         let problem = format!(
-            "misses and writes come to {calls:.0} calls a second, and the origin takes {}",
+            "misses and writes add up to {calls:.0} calls per second, and the origin takes {}",
             per_s.value
         );
         findings.push(
--- a/crates/mothpier-config/src/rules/times.rs
+++ b/crates/mothpier-config/src/rules/times.rs
@@ -15,8 +15,7 @@
         let name = &class.name.value;
         if class.aim.value > class.deadline.value {
             let (aim, deadline) = (format_duration(class.aim.value), format_duration(class.deadline.value));
-            let problem =
-                format!("class {name:?} is wanted within {aim}, and nobody waits longer than {deadline}");
+            let problem = format!("class {name:?} has an aim of {aim}, beyond its deadline of {deadline}");
             findings.push(
                 Finding::error(
                     code::AIM_BEYOND_DEADLINE,
@@ -44,7 +43,7 @@
         && connect_total > class.deadline.value
     {
         let problem = format!(
-            "{} attempts of {} each take {}, and class {:?} is waited for {}",
+            "{} attempts of {} each take {}, and class {:?} has a deadline of {}",
             retries.attempts.value,
             format_duration(retries.connect_timeout.value),
             format_duration(connect_total),
@@ -83,10 +82,10 @@
     ];
     for (enabled, span, source) in multiplied {
         if enabled && app.upstream.value == Upstream::Tier {
-            let problem = format!("{source} of the sidecar, each of which the tier tries again");
+            let problem = format!("{source} of the sidecar, each of which the tier retries");
             findings.push(
                 Finding::error(code::RETRIES_MULTIPLY, span.clone(), problem, code::RETRIES_MULTIPLY.fix())
-                    .with_related(app.upstream.span.clone(), "the tier tries again by itself"),
+                    .with_related(app.upstream.span.clone(), "the tier retries by itself"),
             );
         }
     }
@@ -98,14 +97,14 @@
     let cold = &app.cold;
     if cold.sends_at.value >= cold.falls_at.value {
         let problem = format!(
-            "a cold box is sent {} times what it can do, and falls over at {}",
+            "a cold box is sent {} times its current capacity, and fails at {}",
             cold.sends_at.value, cold.falls_at.value
         );
         let span = if cold.sends_at.explicit { &cold.sends_at.span } else { &cold.falls_at.span };
         let fix = format!("set `sends_at` below {}", cold.falls_at.value);
         findings.push(
             Finding::error(code::COLD_SERVER_OVERLOAD, span.clone(), problem, fix)
-                .with_related(cold.falls_at.span.clone(), "it falls over"),
+                .with_related(cold.falls_at.span.clone(), "it fails at this load"),
         );
     }
 }
--- a/crates/mothpier-config/src/schema.rs
+++ b/crates/mothpier-config/src/schema.rs
@@ -1,5 +1,6 @@
-//! The JSON Schema of an application's file, for completion and validation in editors. Doc comments of the types become
-//! descriptions in the schema. The reader is in [`crate::app`]; a test checks that both have the same names.
+//! The JSON Schema of an application's file, for completion and validation in editors. Doc comments of the
+//! types become descriptions in the schema. The reader is in [`crate::app`]; a test checks that both have the
+//! same names.
 #![allow(dead_code, reason = "the types are read by schemars alone")]
 
 use schemars::JsonSchema;
@@ -162,7 +163,8 @@
     attempts: Option<u64>,
     /// Whether a safe request may have two attempts pending.
     copies: Option<bool>,
-    /// Share of requests that may be retried after they may have run; a request that never ran is always retried.
+    /// Share of requests that may be retried after they may have run; a request that never ran is always
+    /// retried.
     budget: Option<f64>,
     /// Time-out for connecting.
     connect_timeout: Option<String>,
--- a/crates/mothpier-config/src/tree.rs
+++ b/crates/mothpier-config/src/tree.rs
@@ -1,5 +1,5 @@
-//! The syntax tree of a file: values with their positions, before they are interpreted. All three formats (HCL, TOML,
-//! JSON) are parsed into this tree, so that one set of checks serves them all.
+//! The syntax tree of a file: values with their positions, before they are interpreted. All three formats
+//! (HCL, TOML, JSON) are parsed into this tree, so that one set of checks serves them all.
 
 use std::ops::Range;
 
@@ -41,7 +41,7 @@
             Value::Null => "null",
             Value::Bool(_) => "true or false",
             Value::Number(_) => "a number",
-            Value::Text(_) => "a text",
+            Value::Text(_) => "a string",
             Value::List(_) => "a list",
             Value::Table(_) => "a block",
             Value::Other(kind) => kind,
--- a/crates/mothpier-config/src/units.rs
+++ b/crates/mothpier-config/src/units.rs
@@ -20,14 +20,14 @@
 /// Fails if the unit is missing or unknown, or if the value is negative or does not fit into a [`Duration`].
 pub fn parse_duration(text: &str) -> Result<Duration, UnitError> {
     if text.trim_start().starts_with('-') {
-        return Err(UnitError::Range(format!("{text:?} is below zero")));
+        return Err(UnitError::Range(format!("{text:?} is negative")));
     }
     match humantime::parse_duration(text) {
         Ok(time) => Ok(time),
         Err(humantime::DurationError::NumberOverflow) => {
-            Err(UnitError::Range(format!("{text:?} is beyond every clock")))
+            Err(UnitError::Range(format!("{text:?} is too long")))
         }
-        Err(e) => Err(UnitError::Unit(format!("{text:?} is no time: {e}"))),
+        Err(e) => Err(UnitError::Unit(format!("{text:?} is not a duration: {e}"))),
     }
 }
 
@@ -38,15 +38,15 @@
 /// Fails if the unit is missing or unknown, or if the value is negative or above 2^53 bytes.
 pub fn parse_size(text: &str) -> Result<u64, UnitError> {
     if text.trim_start().starts_with('-') {
-        return Err(UnitError::Range(format!("{text:?} is below zero")));
+        return Err(UnitError::Range(format!("{text:?} is negative")));
     }
     if text.trim().bytes().all(|b| b.is_ascii_digit() || b == b'.') {
         return Err(UnitError::Unit(format!("{text:?} has no unit")));
     }
     let size: ByteSize =
-        text.trim().parse().map_err(|e| UnitError::Unit(format!("{text:?} is no size: {e}")))?;
+        text.trim().parse().map_err(|e| UnitError::Unit(format!("{text:?} is not a size: {e}")))?;
     if size.as_u64() > 1 << 53 {
-        return Err(UnitError::Range(format!("{text:?} is beyond every memory")));
+        return Err(UnitError::Range(format!("{text:?} is too large")));
     }
     Ok(size.as_u64())
 }
--- a/crates/mothpier-config/tests/corpus.rs
+++ b/crates/mothpier-config/tests/corpus.rs
@@ -1,5 +1,5 @@
-//! Checks the corpus. Each broken file must be rejected with the code that its name begins with and with the recorded
-//! text. Good files, most of which differ little from a broken one, must have no findings.
+//! Checks the corpus. Each broken file must be rejected with the code that its name begins with and with the
+//! recorded text. Good files, most of which differ little from a broken one, must have no findings.
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/crates/mothpier-config/tests/properties.rs
+++ b/crates/mothpier-config/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Properties of the whole checker: no input panics, generated and rendered files read the same in every format, and the
-//! schema has the same names as the reader.
+//! Properties of the whole checker: no input panics, generated and rendered files read the same in every
+//! format, and the schema has the same names as the reader.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -28,7 +28,8 @@
         prop_assert!(has_errors(&checked.findings), "random bytes are no configuration");
     }
 
-    /// Replaces a part of a good file. Findings must lie within the text, and a file that can't be read must have an error.
+    /// Replaces a part of a good file. Findings must lie within the text, and a file that can't be read must
+    /// have an error.
     #[test]
     fn corrupted_files_do_not_panic(
         form in 0usize..3,
@@ -55,7 +56,8 @@
     }
 }
 
-/// Generates files from every combination of options: neither the file nor the rendered node file may have findings.
+/// Generates files from every combination of options: neither the file nor the rendered node file may have
+/// findings.
 #[test]
 fn generated_files_pass_and_read_the_same_in_every_format() {
     let mut count = 0;
