--- a/crates/mothpier-config/src/app.rs
+++ b/crates/mothpier-config/src/app.rs
@@ -337,13 +337,13 @@
     let mut root = Block::from_node(node, "", findings)?;
     root.span = 0..node.span.end.min(1);
     let file = &mut root;
-    let at = file.span.clone();
+    let span = file.span.clone();
     let name = file.identifier("app", findings);
     let name = file.require("app", name, findings);
     let tenant = file.identifier("tenant", findings);
     let tenant = file.require("tenant", tenant, findings);
     let upstream = file.keyword("upstream", &UPSTREAMS, findings);
-    let upstream = upstream.unwrap_or_else(|| Spanned::default_at(Upstream::CacheServers, at.clone()));
+    let upstream = upstream.unwrap_or_else(|| Spanned::default_at(Upstream::CacheServers, span.clone()));
     let nodes = file.integer("nodes", 1..=MAX_NODES, findings);
     let nodes = file.require("nodes", nodes, findings);
     let me = file.integer("me", 0..=MAX_NODES, findings);
@@ -392,12 +392,12 @@
         block.reject_unknown_keys(findings);
         grace
     });
-    let grace = grace.unwrap_or_else(|| Spanned::default_at(Duration::from_millis(500), at.clone()));
+    let grace = grace.unwrap_or_else(|| Spanned::default_at(Duration::from_millis(500), span.clone()));
     let retries = read_retries(file, upstream.value == Upstream::Tier, findings);
     let classes = read_classes(file, findings);
     if classes.is_empty() && file.entry("class").is_none() {
         let fix = "write `class \"NAME\" { }` for each kind of request";
-        findings.push(Finding::error(code::MISSING, at.clone(), "there is no `class`", fix));
+        findings.push(Finding::error(code::MISSING, span.clone(), "there is no `class`", fix));
     }
     let quotas = file.named_blocks("quota", findings).into_iter().filter_map(|(name, mut block)| {
         let per_s = block.number("per_s", 0.001..=1e9, findings);
@@ -488,19 +488,19 @@
     };
     let address = block.endpoint("address", None, hosts, findings);
     let unix = block.string("unix", findings);
-    let mode = block.string("mode", findings).and_then(|m| {
-        let octal = m.value.strip_prefix('0').filter(|o| o.len() == 3);
+    let mode = block.string("mode", findings).and_then(|text| {
+        let octal = text.value.strip_prefix('0').filter(|o| o.len() == 3);
         let mode = octal.and_then(|o| u32::from_str_radix(o, 8).ok());
         if mode.is_none() {
-            let problem = format!("`listen.mode` is {:?}", m.value);
+            let problem = format!("`listen.mode` is {:?}", text.value);
             findings.push(Finding::error(
                 code::WRONG_TYPE,
-                m.span.clone(),
+                text.span.clone(),
                 problem,
                 "write four octal digits, such as \"0660\"",
             ));
         }
-        mode.map(|mode| Spanned::new(mode, m.span))
+        mode.map(|mode| Spanned::new(mode, text.span))
     });
     let owner = block.integer("owner", 0..=u64::from(u32::MAX) - 1, findings);
     let group = block.integer("group", 0..=u64::from(u32::MAX) - 1, findings);
@@ -540,28 +540,34 @@
 }
 
 fn read_cold(file: &mut Block<'_>, findings: &mut Vec<Finding>) -> Cold {
-    let none = Block::empty("cold", file.span.clone());
-    let mut block = file.block("cold", findings).unwrap_or(none);
+    let absent = Block::empty("cold", file.span.clone());
+    let mut block = file.block("cold", findings).unwrap_or(absent);
     let span = block.span.clone();
-    let or = |number: Option<Spanned<f64>>, default: f64| {
+    let or_default = |number: Option<Spanned<f64>>, default: f64| {
         number.unwrap_or_else(|| Spanned::default_at(default, span.clone()))
     };
-    let starts_at = or(block.number("starts_at", 0.001..=1.0, findings), 0.12);
-    let sends_at = or(block.number("sends_at", 0.1..=100.0, findings), 1.5);
-    let falls_at = or(block.number("falls_at", 0.1..=100.0, findings), 3.0);
+    let starts_at = or_default(block.number("starts_at", 0.001..=1.0, findings), 0.12);
+    let sends_at = or_default(block.number("sends_at", 0.1..=100.0, findings), 1.5);
+    let falls_at = or_default(block.number("falls_at", 0.1..=100.0, findings), 3.0);
     let warm_after = block.duration("warm_after", positive_up_to(MAX_DURATION), findings);
     let falls_after = block.duration("falls_after", positive_up_to(MAX_DURATION), findings);
     let span = block.span.clone();
     block.reject_unknown_keys(findings);
-    let or = |time: Option<Spanned<Duration>>, s: u64| {
+    let or_default = |time: Option<Spanned<Duration>>, s: u64| {
         time.unwrap_or_else(|| Spanned::default_at(Duration::from_secs(s), span.clone()))
     };
-    Cold { starts_at, sends_at, falls_at, warm_after: or(warm_after, 21), falls_after: or(falls_after, 2) }
+    Cold {
+        starts_at,
+        sends_at,
+        falls_at,
+        warm_after: or_default(warm_after, 21),
+        falls_after: or_default(falls_after, 2),
+    }
 }
 
 fn read_retries(file: &mut Block<'_>, tier: bool, findings: &mut Vec<Finding>) -> Retries {
-    let none = Block::empty("retries", file.span.clone());
-    let mut block = file.block("retries", findings).unwrap_or(none);
+    let absent = Block::empty("retries", file.span.clone());
+    let mut block = file.block("retries", findings).unwrap_or(absent);
     let span = block.span.clone();
     let attempts = block.integer("attempts", 1..=10, findings);
     let copies = block.boolean("copies", findings);
--- a/crates/mothpier-config/src/block.rs
+++ b/crates/mothpier-config/src/block.rs
@@ -331,15 +331,15 @@
         named_blocks
     }
 
-    /// Reports a required setting that is missing.
+    /// Returns a required setting unchanged, and reports it if it is missing.
     pub fn require<T>(
         &mut self,
         key: &'static str,
-        got: Option<Spanned<T>>,
+        setting: Option<Spanned<T>>,
         findings: &mut Vec<Finding>,
     ) -> Option<Spanned<T>> {
         // A setting that is present but invalid has been reported already.
-        if got.is_none() && self.entry(key).is_none() {
+        if setting.is_none() && self.entry(key).is_none() {
             let problem = format!("`{}` is missing", self.full_name(key));
             findings.push(Finding::error(
                 code::MISSING,
@@ -348,10 +348,10 @@
                 format!("write `{key}` here"),
             ));
         }
-        got
+        setting
     }
 
-    /// Reports all keys that have not been read, and secrets among them.
+    /// Reports all keys that have not been read; keys that look like secrets are reported as such.
     pub fn reject_unknown_keys(self, findings: &mut Vec<Finding>) {
         for entry in self.entries.iter().filter(|e| !self.known.contains(e.key.as_str())) {
             let name = self.full_name(&entry.key);
@@ -363,7 +363,7 @@
                 continue;
             }
             let fix = match closest_match(&entry.key, self.known.iter().copied()) {
-                Some(alike) => format!("did you mean `{alike}`?"),
+                Some(suggestion) => format!("did you mean `{suggestion}`?"),
                 None => {
                     let names: Vec<&str> = self.known.iter().copied().collect();
                     format!("known here: {}", names.join(", "))
--- a/crates/mothpier-config/src/changes.rs
+++ b/crates/mothpier-config/src/changes.rs
@@ -210,7 +210,11 @@
             Some(class.default.to_string()),
             "whether requests without a class belong to it",
         );
-        add(&path("aim"), Some(format_duration(class.aim.value)), "when it is tried elsewhere, and given up");
+        add(
+            &path("aim"),
+            Some(format_duration(class.aim.value)),
+            "when a request is tried elsewhere or given up",
+        );
         add(
             &path("deadline"),
             Some(format_duration(class.deadline.value)),
--- a/crates/mothpier-config/src/finding.rs
+++ b/crates/mothpier-config/src/finding.rs
@@ -71,12 +71,12 @@
 }
 
 /// Returns the line and column of a byte, both counted from 1; columns count characters.
-pub fn line_and_column(text: &str, at: usize) -> (usize, usize) {
-    let mut at = at.min(text.len());
-    while !text.is_char_boundary(at) {
-        at -= 1;
+pub fn line_and_column(text: &str, position: usize) -> (usize, usize) {
+    let mut position = position.min(text.len());
+    while !text.is_char_boundary(position) {
+        position -= 1;
     }
-    let before = &text[..at];
+    let before = &text[..position];
     let line = before.matches('\n').count() + 1;
     let start = before.rfind('\n').map_or(0, |n| n + 1);
     (line, before[start..].chars().count() + 1)
--- a/crates/mothpier-config/src/profile.rs
+++ b/crates/mothpier-config/src/profile.rs
@@ -61,6 +61,7 @@
     pub form: Form,
 }
 
+/// Writes a file in the syntax of its format.
 struct Writer {
     text: String,
     form: Form,
@@ -105,6 +106,7 @@
     }
 }
 
+/// A class that a profile writes.
 struct ClassTemplate {
     name: &'static str,
     effect: &'static str,
@@ -167,6 +169,7 @@
     }
 }
 
+/// The limits and attempts that a profile writes.
 struct Limits {
     memory: &'static str,
     sockets: u32,
--- a/crates/mothpier-config/src/read.rs
+++ b/crates/mothpier-config/src/read.rs
@@ -57,11 +57,11 @@
         Err(e) => {
             // The lossy text replaces invalid bytes by a character of another length, so the position is
             // computed in it.
-            let at = String::from_utf8_lossy(&bytes[..e.valid_up_to()]).len();
+            let position = String::from_utf8_lossy(&bytes[..e.valid_up_to()]).len();
             let problem = format!("byte {} is not UTF-8", e.valid_up_to());
             let finding = Finding::error(
                 code::NOT_UTF8,
-                at..at + 1,
+                position..position + 1,
                 problem,
                 "save the file as UTF-8 and retype the character",
             );
@@ -73,14 +73,14 @@
             code::BYTE_ORDER_MARK,
             0..3,
             "the file begins with a byte order mark",
-            "save it as UTF-8 without one; JSON readers refuse it (RFC 8259, section 8.1)",
+            "save it as UTF-8 without one; JSON parsers reject it (RFC 8259, section 8.1)",
         );
         return Err((text.to_owned(), vec![finding]));
     }
-    if let Some(at) = find_excess_nesting(text) {
+    if let Some(position) = find_excess_nesting(text) {
         let finding = Finding::error(
             code::TOO_DEEP,
-            at..at + 1,
+            position..position + 1,
             format!("more than {MAX_DEPTH} brackets are open here"),
             "no setting is nested deeper than four; look for a bracket that was never closed",
         );
@@ -98,26 +98,27 @@
 }
 
 /// Returns the position at which brackets are nested deeper than [`MAX_DEPTH`]: the parsers recurse once per
-/// bracket and would overflow the stack. For simplicity brackets in strings and comments count, too.
+/// bracket and would overflow the stack. For simplicity brackets in strings and comments count, too; nobody
+/// writes that many there.
 fn find_excess_nesting(text: &str) -> Option<usize> {
     let mut depth = 0usize;
-    for (at, byte) in text.bytes().enumerate() {
+    for (position, byte) in text.bytes().enumerate() {
         match byte {
             b'{' | b'[' | b'(' => depth += 1,
             b'}' | b']' | b')' => depth = depth.saturating_sub(1),
             _ => {}
         }
         if depth > MAX_DEPTH {
-            return Some(at);
+            return Some(position);
         }
     }
     None
 }
 
 /// Creates the finding for a parser error; an error at the end of the text is reported as a truncated file.
-fn syntax_error(text: &str, at: usize, message: &str) -> Vec<Finding> {
+fn syntax_error(text: &str, position: usize, message: &str) -> Vec<Finding> {
     let end = text.trim_end().len();
-    if at >= end {
+    if position >= end {
         let start = end.saturating_sub(1);
         let start = (0..=start).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
         return vec![Finding::error(
@@ -127,9 +128,14 @@
             "use the whole file, and write files to a temporary name first, then rename them",
         )];
     }
-    let at = (0..=at).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
-    let width = text[at..].chars().next().map_or(0, char::len_utf8);
-    vec![Finding::error(code::SYNTAX, at..at + width, message.to_owned(), "fix the line that is shown")]
+    let position = (0..=position).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
+    let width = text[position..].chars().next().map_or(0, char::len_utf8);
+    vec![Finding::error(
+        code::SYNTAX,
+        position..position + width,
+        message.to_owned(),
+        "fix the line that is shown",
+    )]
 }
 
 /// Creates the finding for a duplicate key.
--- a/crates/mothpier-config/src/read/json.rs
+++ b/crates/mothpier-config/src/read/json.rs
@@ -26,8 +26,8 @@
         // For an unclosed string, object or list, the parser reports the start; the file ends too early.
         let reaches_end = text[range.start.min(text.len())..].trim_end().len() <= range.end - range.start;
         let starts_value = matches!(text.as_bytes().get(range.start), Some(b'"' | b'{' | b'['));
-        let at = if reaches_end && starts_value { text.len() } else { range.start };
-        syntax_error(text, at, &lowercase_first(&e.kind().to_string()))
+        let position = if reaches_end && starts_value { text.len() } else { range.start };
+        syntax_error(text, position, &lowercase_first(&e.kind().to_string()))
     })?;
     let Some(value) = parsed.value else {
         return Err(syntax_error(text, text.len(), "it is empty"));
--- a/crates/mothpier-config/src/rules/times.rs
+++ b/crates/mothpier-config/src/rules/times.rs
@@ -7,7 +7,7 @@
 use crate::finding::Finding;
 use crate::units::format_duration;
 
-/// Longest deadline that a stopping node waits for before it is killed.
+/// Longest deadline that a stopping node waits for; it is killed some time after that.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
 
 pub fn check(app: &App, findings: &mut Vec<Finding>) {
