--- a/crates/mothpier-coordination/src/command.rs
+++ b/crates/mothpier-coordination/src/command.rs
@@ -1,211 +1,214 @@
-//! What can be asked, what is answered, and what a watcher is told. Serde's form of these types is the log's and the
-//! wire's; it grows only by what an older reader may refuse, under a new [`FORMAT`].
+//! Commands, answers and change notifications. Their serde representation is written to the log and sent
+//! over the wire; it may only be extended in ways that an older reader rejects, under a new [`FORMAT`].
 
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::messages::{FleetChange, FleetCommand, FleetRefusal, FleetResponse};
 use crate::fleet::timers::Timer;
 
-/// Version of commands in the log and of the state in snapshots. 2 brought the fleet, 3 its numbered reports; all before are
-/// read.
+/// Format version of commands in the log and of the state in snapshots. Version 2 added the fleet, version 3
+/// its numbered reports. All earlier versions can be read.
 pub const FORMAT: u32 = 3;
 
-/// A number that rises with every grant of any lease: who has the higher one was granted later.
+/// Fencing token: rises with every grant of any lease, so a higher one belongs to a later grant.
 pub type Fence = u64;
-/// The number of a change.
+/// Number of a change of the state.
 pub type Revision = u64;
-/// A session's name: its client draws it, so that asking twice opens one.
+/// Name of a session. The client draws it at random, so that a repeated request opens only one session.
 pub type SessionId = String;
 
-/// A line of the log.
+/// A command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Command {
-    /// Opens a session, or finds it open.
+    /// Opens a session, or confirms that it is open.
     Open {
-        /// Its name.
+        /// The name of the session.
         session: SessionId,
-        /// It ends when it has not been renewed for so long.
+        /// The session expires if it is not renewed for this long.
         ttl_ms: u64,
     },
-    /// It lives.
+    /// Renews a session.
     Renew {
         /// The session.
         session: SessionId,
     },
-    /// Asks for something in the session's name. The same number again is answered as the first time.
+    /// Makes a request on behalf of a session. A repeated number gets the same answer as the first time.
     Ask {
         /// The session.
         session: SessionId,
         /// Rises by one with each request of the session.
         number: u64,
-        /// What is asked.
+        /// The request.
         request: Request,
     },
-    /// Ends a session and gives up all that it holds.
+    /// Ends a session and releases everything it holds.
     Close {
         /// The session.
         session: SessionId,
     },
-    /// A leader has waited for a session's whole time.
+    /// Ends a session that, according to the leader, was not renewed within its TTL.
     Expire {
         /// The session.
         session: SessionId,
-        /// How often it had been renewed when the wait began: one renewal more, and it lives.
+        /// Number of renewals when the leader's wait began: if there was another renewal since, the session
+        /// stays open.
         renewals: u64,
     },
-    /// Staff want a lease to change hands: its holder's session is renewed no more, and ends in its time.
+    /// Lets a lease change hands on an operator's request: the holder's session is not renewed any more and
+    /// expires after its TTL.
     Break {
         /// The lease.
         lease: String,
-        /// The fence under which it is held.
+        /// The fence of the grant to break.
         fence: Fence,
     },
-    /// A leader has waited for a timer of the fleet.
+    /// Reports that a timer of the fleet has fired at the leader.
     Due {
-        /// Which.
+        /// The timer.
         timer: Timer,
     },
 }
 
-/// What a session asks for.
+/// A request of a session.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Request {
-    /// To hold a lease.
+    /// Acquires a lease.
     Acquire {
-        /// Its name.
+        /// The name of the lease.
         lease: String,
-        /// To be next in line where another one holds it.
+        /// Whether to queue for the lease if another session holds it.
         wait: bool,
     },
-    /// To hold a lease no more, or to wait for it no more.
+    /// Releases a lease, or stops waiting for it.
     Release {
-        /// Its name.
+        /// The name of the lease.
         lease: String,
     },
-    /// To store a value.
+    /// Stores a value.
     Put {
-        /// Its name.
+        /// The key of the value.
         key: String,
         /// The value.
         value: String,
-        /// Only where its last change has this number; 0 where there must be none.
+        /// If set, stores only if this is the revision of the key's last change; 0 means that the key must
+        /// not exist.
         at: Option<Revision>,
     },
-    /// To remove a value.
+    /// Deletes a value.
     Delete {
-        /// Its name.
+        /// The key of the value.
         key: String,
-        /// Only where its last change has this number.
+        /// If set, deletes only if this is the revision of the key's last change.
         at: Option<Revision>,
     },
-    /// Something of the fleet: its nodes, its drains.
+    /// Changes the fleet: its nodes, cache servers and drains.
     Fleet {
-        /// What.
+        /// The command.
         what: FleetCommand,
     },
 }
 
-/// What came of a command.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "is", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Answer {
     /// The session is open.
     Opened,
-    /// The session lives for its whole time from now on.
+    /// The session is renewed for its whole TTL.
     Renewed,
     /// The session has ended.
     Closed,
-    /// The lease is held.
+    /// The session holds the lease.
     Granted {
-        /// Under this number.
+        /// The fence of the grant.
         fence: Fence,
     },
-    /// Others hold the lease or come first.
+    /// The session waits for the lease.
     Waiting {
-        /// How many.
+        /// Number of sessions ahead, including the holder.
         ahead: u64,
     },
-    /// The lease is not held by the session, and not waited for.
+    /// The session neither holds the lease nor waits for it.
     Released,
     /// The value is stored.
     Stored {
-        /// The number of the change.
+        /// The revision of the change.
         revision: Revision,
     },
-    /// The value is gone.
+    /// The value is deleted.
     Deleted {
-        /// The number of the change.
+        /// The revision of the change.
         revision: Revision,
     },
-    /// The lease's holder is renewed no more.
+    /// The session that holds the lease is not renewed any more.
     Broken,
-    /// Of the fleet.
+    /// A fleet command succeeded.
     Fleet {
-        /// What came of it.
+        /// Its response.
         answer: FleetResponse,
     },
-    /// Nothing has changed.
+    /// The command was refused and changed nothing.
     Refused {
-        /// Why.
+        /// The reason.
         why: Refusal,
     },
 }
 
-/// Why nothing has changed.
+/// Why a command was refused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "why", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Refusal {
-    /// There is no such session: it has ended, or never was.
+    /// The session does not exist: it has ended, or was never opened.
     NoSession,
-    /// The name was a session's that has ended.
+    /// A session of this name has ended, and the name cannot be reused yet.
     SessionOver,
-    /// The session is open with another time.
+    /// The session is open with a different TTL.
     OtherTtl {
-        /// Its time.
+        /// The TTL of the open session.
         ttl_ms: u64,
     },
-    /// Staff have broken a lease of the session.
+    /// An operator has broken a lease of the session.
     BrokenByStaff,
-    /// The session's number is behind its last, or leaves one out.
+    /// The request number is neither the session's last one nor the next one.
     WrongNumber {
-        /// The last one.
+        /// The number of the session's last request.
         last: u64,
     },
     /// Another session holds the lease.
     Held {
-        /// Which.
+        /// The session that holds it.
         by: SessionId,
     },
-    /// The lease is not held under that number.
+    /// The lease is not held under this fence.
     NotHeld,
-    /// The value has changed since.
+    /// The value has been changed since.
     Changed {
-        /// The number of its last change, 0 where there is none.
+        /// The revision of its last change, 0 if there is no value.
         at: Revision,
     },
-    /// The session was renewed meanwhile.
+    /// The session was renewed in the meantime.
     Renewed,
-    /// A bound.
+    /// A limit is exceeded.
     OverLimit {
-        /// Its name.
+        /// The name of the limit.
         limit: String,
-        /// The bound.
+        /// The limit.
         most: u64,
     },
-    /// A name that is empty, too long, or holds other than letters, digits and `-_.:@/`.
+    /// The name is empty, too long, or contains characters other than letters, digits and `-_.:@/`.
     BadName,
-    /// A session's time outside the bounds.
+    /// The TTL is outside the allowed range.
     BadTtl {
-        /// The shortest.
+        /// The shortest allowed TTL.
         least_ms: u64,
-        /// The longest.
+        /// The longest allowed TTL.
         most_ms: u64,
     },
-    /// Of the fleet.
+    /// A fleet command was refused.
     Fleet {
-        /// Why.
+        /// The reason.
         fleet: FleetRefusal,
     },
 }
@@ -233,41 +236,41 @@
     }
 }
 
-/// What a watcher is told, with the number of the change.
+/// A change as sent to watchers, together with its revision.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Change {
-    /// A lease has a holder.
+    /// A lease was granted.
     Granted {
         /// The lease.
         lease: String,
-        /// The holder's session.
+        /// The session that holds the lease.
         session: SessionId,
-        /// The number of the grant.
+        /// The fence of the grant.
         fence: Fence,
     },
-    /// A lease's holder has it no more.
+    /// A lease is no longer held by its holder.
     Ended {
         /// The lease.
         lease: String,
-        /// The number of its grant.
+        /// The fence of the ended grant.
         fence: Fence,
     },
-    /// A value is there.
+    /// A value was stored.
     Put {
-        /// Its name.
+        /// The key of the value.
         key: String,
         /// The value.
         value: String,
     },
-    /// A value is gone.
+    /// A value was deleted.
     Deleted {
-        /// Its name.
+        /// The key of the value.
         key: String,
     },
-    /// Of the fleet.
+    /// The fleet changed.
     Fleet {
-        /// What.
+        /// The change.
         what: FleetChange,
     },
 }
--- a/crates/mothpier-coordination/src/fencing.rs
+++ b/crates/mothpier-coordination/src/fencing.rs
@@ -1,5 +1,6 @@
-//! Whom one that acts for a holder obeys: a node, the tool. It refuses a fence lower than it has seen, and an act whose
-//! time is over; one that has begun from nothing knows no fences and obeys nobody until a quorum has told it.
+//! Fencing at a process that acts on behalf of lease holders. It rejects an action whose fence is lower than
+//! one it has seen, or whose deadline has passed. A process that starts without handed-over fences rejects
+//! every action until a quorum of coordinators has provided them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,34 +9,35 @@
 use crate::command::Fence;
 use crate::limits;
 
-/// Orders within their time that are remembered.
+/// Maximum number of accepted actions that are remembered until their deadline.
 const MOST_DONE: usize = 65_536;
 
-/// An order that a holder gives.
+/// An action that a lease holder requests.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FencedAction {
-    /// The lease in whose name.
+    /// The lease that authorizes the action.
     pub lease: String,
-    /// The number of its grant.
+    /// The fence of the holder's grant.
     pub fence: Fence,
-    /// Which clock `not_after_ms` is of: that of the one that obeys, told before the holder looked at its own time.
+    /// Name of the clock that `not_after_ms` refers to: the clock of the receiving process, read before the
+    /// holder checked its own validity.
     pub clock: String,
-    /// It must not begin at this time or later. The holder adds what is left of its own time to what that clock said
-    /// before; no two clocks are compared.
+    /// Deadline: the action must not begin at this time or later. The holder adds the remaining validity of
+    /// its lease to the receiver's clock as read before, so that no two clocks are compared.
     pub not_after_ms: u64,
-    /// No other order of this grant has it: an order that comes twice is done once. Its second copy may come when the holder,
-    /// who has heard of the first, has given the lease up.
+    /// Number of the action, unique within the grant, so that a duplicated action is executed once. The
+    /// second copy may arrive after the holder has seen the first one confirmed and released the lease.
     pub number: u64,
 }
 
-/// The lowest fences that may act.
+/// The lowest fences that are accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FenceFloors {
-    /// Of leases that nobody holds: the next grant has at least this one.
+    /// For leases that are not held: the next grant has at least this fence.
     pub others: Fence,
-    /// Of leases that are held.
+    /// For leases that are held, by lease name.
     pub held: BTreeMap<String, Fence>,
 }
 
@@ -45,25 +47,25 @@
     }
 }
 
-/// Why an act is not done.
+/// Why an action is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FenceError {
-    /// It has begun from nothing and was not told the fences yet.
+    /// The process has not received the fences yet.
     KnowsNothing,
-    /// Another holder came later.
+    /// A later grant of the lease has been seen.
     OldFence {
-        /// The lowest that it obeys.
+        /// The lowest fence that is accepted.
         least: Fence,
     },
-    /// The act's time is over.
+    /// The deadline of the action has passed.
     TooLate,
-    /// The time is of another clock: it was told before this process began.
+    /// The deadline refers to another clock, for example that of the previous process.
     OtherClock,
-    /// It has been done.
+    /// The action was accepted before.
     Done,
-    /// More orders are within their time than can be remembered.
+    /// Too many accepted actions are within their deadlines to remember another one.
     TooMany,
-    /// The lease's name is none.
+    /// The lease name is not valid.
     BadName,
 }
 
@@ -81,52 +83,52 @@
     }
 }
 
-/// One that obeys.
+/// Decides which fenced actions a process accepts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub struct FenceGuard {
-    /// The name of its clock, new with every process.
+    /// Name of the process's clock, new for every process.
     clock: String,
     floors: Option<FenceFloors>,
-    /// Orders that were done and could come again: their time, fence and number.
+    /// Accepted actions that could arrive again: deadline, fence and number.
     done: BTreeSet<(u64, Fence, u64)>,
 }
 
 impl FenceGuard {
-    /// One that begins from nothing.
+    /// Creates a guard that knows no fences yet.
     pub fn new(clock: String) -> Self {
         FenceGuard { clock, floors: None, done: BTreeSet::new() }
     }
 
-    /// The name of its clock.
+    /// Returns the name of the clock.
     pub fn clock(&self) -> &str {
         &self.clock
     }
 
-    /// Whether it knows enough to obey anybody.
+    /// Whether the fences are known, so that actions can be accepted.
     pub fn knows(&self) -> bool {
         self.floors.is_some()
     }
 
-    /// Takes over what a quorum told, or the process before it. Nothing that it has seen is lowered.
+    /// Merges fences from a quorum or from the previous process. Fences already seen are never lowered.
     pub fn learn(&mut self, told: FenceFloors) {
         let Some(known) = &self.floors else { return self.floors = Some(told) };
-        // A lease that only one side names is bounded below by what the other says of all others.
+        // A lease named on one side only has the other side's `others` as its lower bound.
         let names = told.held.keys().chain(known.held.keys());
         let held = names.map(|lease| (lease.clone(), told.of(lease).max(known.of(lease)))).collect();
         self.floors = Some(FenceFloors { others: told.others.max(known.others), held });
         self.forget();
     }
 
-    /// What the next process of the same machine has to know.
+    /// Returns the fences to hand over to the next process on the same machine.
     pub fn handed_over(&self) -> Option<&FenceFloors> {
         self.floors.as_ref()
     }
 
-    /// Whether the time of an act is not over.
+    /// Checks the deadline of an action.
     ///
     /// # Errors
     ///
-    /// Why it can't begin.
+    /// Fails if the deadline has passed or refers to another clock.
     pub fn in_time(&self, act: &FencedAction, now: u64) -> Result<(), FenceError> {
         if act.clock != self.clock {
             return Err(FenceError::OtherClock);
@@ -134,11 +136,11 @@
         if now >= act.not_after_ms { Err(FenceError::TooLate) } else { Ok(()) }
     }
 
-    /// Whether the act's holder is the latest that it has heard of; it is from now on.
+    /// Checks the fence of an action, and raises the known fence of its lease.
     ///
     /// # Errors
     ///
-    /// Why it is not obeyed.
+    /// Fails if the fences are not known, the lease name is not valid or a later grant has been seen.
     pub fn fenced(&mut self, act: &FencedAction) -> Result<(), FenceError> {
         if !limits::is_name(&act.lease) {
             return Err(FenceError::BadName);
@@ -153,25 +155,25 @@
         Ok(())
     }
 
-    /// Whether to do as it is told, now.
+    /// Checks whether an action may be executed now, and records it as executed.
     ///
     /// # Errors
     ///
-    /// Why not.
+    /// Returns why the action is rejected.
     pub fn obey(&mut self, act: &FencedAction, now: u64) -> Result<(), FenceError> {
         self.in_time(act, now)?;
-        // One that is refused is not done, and may come again once more is known.
+        // A rejected action is not recorded, so it may be sent again once the fences are known.
         self.fenced(act)?;
         self.once(act, now)
     }
 
-    /// Whether the act was not done yet; it is from now on.
+    /// Records an action as executed.
     ///
     /// # Errors
     ///
-    /// It was, or that can't be remembered.
+    /// Fails if the action was recorded before, or if too many actions are recorded.
     pub fn once(&mut self, act: &FencedAction, now: u64) -> Result<(), FenceError> {
-        // What could come no more in its time need not be known.
+        // Actions whose deadline has passed are rejected anyway and need not be remembered.
         self.done = self.done.split_off(&(now + 1, 0, 0));
         if self.done.len() >= MOST_DONE {
             return Err(FenceError::TooMany);
@@ -183,8 +185,8 @@
         }
     }
 
-    /// Leases beyond what is kept count among the others: those with the lowest fences go, and raise the bound of all
-    /// that are not named. That refuses too much, never too little.
+    /// Bounds the number of known leases. Removes those with the lowest fences and raises `others`
+    /// accordingly, which may reject too much but never too little.
     fn forget(&mut self) {
         let Some(floors) = &mut self.floors else { return };
         while floors.held.len() > limits::LEASES {
--- a/crates/mothpier-coordination/src/fleet/drains.rs
+++ b/crates/mothpier-coordination/src/fleet/drains.rs
@@ -1,4 +1,4 @@
-//! Drains that are asked for, confirmed and taken back.
+//! Starting, confirming and cancelling drains.
 
 use std::collections::BTreeSet;
 
@@ -6,13 +6,13 @@
 use super::{Answered, Condition, DRAINS, Drain, Fleet, LONGEST_MS, bad};
 
 impl Fleet {
-    /// The drain that something has.
+    /// Returns the drain of a node or cache server.
     pub fn drain_of(&self, subject: &Subject) -> Option<(u64, &Drain)> {
         let number = self.index().drains.get(subject)?;
         Some((*number, self.drains.get(number)?))
     }
 
-    /// Something is to go out.
+    /// Starts or restarts the drain of a node or cache server.
     pub(super) fn drain(
         &mut self,
         subject: &Subject,
@@ -50,7 +50,7 @@
                 return Err(FleetRefusal::Already { number, stage });
             }
             self.happened(Some(subject.clone()), how, Some(note.clone()));
-            // It counts as out already, so that no limit is passed.
+            // The subject already counts as out, so this exceeds no limit.
             self.put_drain(number, Drain { stage, turn, touched: true, ..fresh });
             if stage != Stage::Asked && stage != Stage::Out {
                 self.to(number, Stage::Leaving, changes);
@@ -69,7 +69,7 @@
         Ok(FleetResponse::Drain { number, stage: Stage::Asked })
     }
 
-    /// It is to come back.
+    /// Ends a drain: cancels a waiting one, and otherwise returns the subject to service.
     pub(super) fn back(
         &mut self,
         subject: &Subject,
@@ -99,7 +99,7 @@
         Ok(FleetResponse::Drain { number, stage })
     }
 
-    /// It takes its place among those that are to come back.
+    /// Queues a drain for its return to service.
     pub(super) fn wants_back(&mut self, number: u64) {
         let place = self.number();
         if let Some(drain) = self.drains.get_mut(&number) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A node has done what a drain's stage asks for.
+    /// Records that a node has done what the current stage of a drain requires.
     pub(super) fn confirm(&mut self, session: &str, number: u64, turn: u64) -> Answered {
         let name = self.node_of(session)?;
         let this_turn = self.holds(Condition::OfThisTurn);
@@ -121,7 +121,7 @@
         Ok(FleetResponse::Done)
     }
 
-    /// A drain is this one from now on.
+    /// Inserts or replaces a drain and updates the indexes.
     fn put_drain(&mut self, number: u64, drain: Drain) {
         if let Some(before) = self.drains.insert(number, drain) {
             self.drain_out_of_index(number, &before);
@@ -129,7 +129,7 @@
         self.drain_into_index(number);
     }
 
-    /// A drain begins a stage.
+    /// Moves a drain to a stage.
     pub(super) fn to(&mut self, number: u64, stage: Stage, changes: &mut Vec<FleetChange>) {
         let turn = self.number();
         let Some(mut drain) = self.drains.get(&number).cloned() else { return };
@@ -147,7 +147,7 @@
         self.happened(Some(subject), what, None);
     }
 
-    /// A drain is no more.
+    /// Removes a drain that has ended.
     pub(super) fn ended(&mut self, number: u64, changes: &mut Vec<FleetChange>) {
         if let Some(drain) = self.drains.remove(&number) {
             self.drain_out_of_index(number, &drain);
@@ -155,7 +155,7 @@
         }
     }
 
-    /// The drains as nodes need to know them: what only waits is nothing to them.
+    /// Returns the drains as nodes need them, without those that are only waiting.
     pub fn told(&self) -> Vec<Told> {
         let told = |(number, d): (&u64, &Drain)| Told {
             drain: *number,
@@ -167,15 +167,15 @@
     }
 }
 
-/// What is asked of a drain beside its subject.
+/// Options of a requested drain.
 #[derive(Clone, Copy)]
 pub(super) struct Wanted {
-    /// Its latest end, ms after it was granted.
+    /// Maximum duration, in ms from the grant.
     pub(super) for_ms: Option<u64>,
-    /// What happens then.
+    /// What happens when the maximum duration is over.
     pub(super) then: Then,
-    /// It waits for a place.
+    /// Whether the drain may wait until the limits allow it.
     pub(super) wait: bool,
-    /// It goes past the limits, and past a halt.
+    /// Whether the drain ignores the limits and a halt.
     pub(super) force: bool,
 }
--- a/crates/mothpier-coordination/src/fleet/due.rs
+++ b/crates/mothpier-coordination/src/fleet/due.rs
@@ -1,4 +1,5 @@
-//! What is due after a time: latest ends of drains, ends of cold, a calm after a halt.
+//! Timers of the fleet: maximum durations of drains, ends of cache warm-up, and the end of an automatic
+//! halt.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +8,7 @@
 use super::{Drain, Fleet};
 
 impl Fleet {
-    /// What is due after a time, as a leader saw it.
+    /// Applies a timer that has fired at the leader.
     pub fn due(&mut self, timer: &Timer, changes: &mut Vec<FleetChange>) {
         match timer {
             Timer::End { drain } => {
@@ -48,7 +49,7 @@
         self.check_index();
     }
 
-    /// What is to be proposed after a time, ms.
+    /// Returns the timers that the leader should run, with their durations in ms.
     pub fn timers(&self) -> BTreeMap<Timer, u64> {
         let mut all = BTreeMap::new();
         for (number, drain) in &self.drains {
--- a/crates/mothpier-coordination/src/fleet/follow.rs
+++ b/crates/mothpier-coordination/src/fleet/follow.rs
@@ -1,15 +1,16 @@
-//! What a node does about drains: which cache servers it keeps out, whether it empties itself, and what it may confirm.
+//! A node's part in drains: which cache servers it does not use, whether it drains itself, and which stages
+//! it may confirm.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::messages::{FleetChange, Kind, Stage, Subject, Told};
 
-/// What a node has in effect.
+/// The drains that a node has put into effect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Effect {
-    /// Cache servers that are sent nothing.
+    /// Cache servers to which the node sends nothing.
     pub out: BTreeSet<String>,
-    /// It takes no work, and has none left.
+    /// The node accepts no requests and has none in progress.
     pub empty: bool,
 }
 
@@ -17,31 +18,31 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Follower {
     node: String,
-    /// `None` until they were read whole.
+    /// `None` until the drains have been read in full.
     drains: Option<BTreeMap<u64, Told>>,
-    /// The last stage of each that was confirmed.
+    /// The last confirmed stage of each drain, by drain number.
     confirmed: BTreeMap<u64, u64>,
 }
 
 impl Follower {
-    /// A node that knows nothing yet.
+    /// Creates a view that knows no drains yet.
     pub fn new(node: &str) -> Self {
         Follower { node: node.into(), ..Follower::default() }
     }
 
-    /// Whether it knows who is out.
+    /// Whether the drains are known.
     pub fn knows(&self) -> bool {
         self.drains.is_some()
     }
 
-    /// All drains, as a majority confirmed them.
+    /// Replaces the drains by those that were read with the confirmation of a majority.
     pub fn read(&mut self, all: Vec<Told>) {
         let drains: BTreeMap<u64, Told> = all.into_iter().map(|t| (t.drain, t)).collect();
         self.confirmed.retain(|drain, _| drains.contains_key(drain));
         self.drains = Some(drains);
     }
 
-    /// One has changed.
+    /// Applies a change of the fleet.
     pub fn change(&mut self, change: &FleetChange) {
         let Some(drains) = &mut self.drains else { return };
         match change {
@@ -58,7 +59,8 @@
         }
     }
 
-    /// It has joined anew: what the process before confirmed counts no more.
+    /// Forgets all confirmations after joining under a new session, because those of the previous process no
+    /// longer count.
     pub fn joined(&mut self) {
         self.confirmed.clear();
     }
@@ -67,7 +69,7 @@
         matches!(told.stage, Stage::Leaving | Stage::Out)
     }
 
-    /// Cache servers that are to be sent nothing.
+    /// Returns the cache servers to which the node must send nothing.
     pub fn out(&self) -> BTreeSet<String> {
         let drains = self.drains.iter().flat_map(|d| d.values());
         drains
@@ -76,13 +78,13 @@
             .collect()
     }
 
-    /// Whether this node is to take no work.
+    /// Whether this node must accept no requests.
     pub fn empties(&self) -> bool {
         let own = Subject::node(&self.node);
         self.drains.iter().flat_map(|d| d.values()).any(|t| t.subject == own && Self::keeps_out(t))
     }
 
-    /// What may be confirmed, with that in effect: the drain's number and its stage's.
+    /// Returns what may be confirmed with `effect` in place: drain numbers and stage numbers.
     pub fn confirms(&self, effect: &Effect) -> Vec<(u64, u64)> {
         let done = |t: &&Told| {
             let (asks, has) = match (t.subject.kind, t.stage) {
@@ -98,7 +100,7 @@
         self.drains.iter().flat_map(|d| d.values()).filter(done).map(|t| (t.drain, t.turn)).collect()
     }
 
-    /// That was confirmed, and the coordinators have it.
+    /// Records that the coordinators have accepted a confirmation.
     pub fn confirmed(&mut self, drain: u64, turn: u64) {
         self.confirmed.insert(drain, turn);
     }
--- a/crates/mothpier-coordination/src/fleet/halts.rs
+++ b/crates/mothpier-coordination/src/fleet/halts.rs
@@ -1,13 +1,13 @@
-//! Halts: of staff, and of the fleet itself.
+//! Halts by operators and automatic halts of the fleet.
 
 use super::messages::{AuditNote, FleetChange, FleetRefusal, FleetResponse, Kind, Stage};
 use super::{Answered, Condition, Fleet, Halt, NAMED};
 
 impl Fleet {
-    /// Nothing more goes out, and what is on its way comes back, the latest first.
+    /// Halts the fleet: nothing more is drained, and what is leaving returns to service, the latest first.
     pub(super) fn stop(&mut self, note: AuditNote, by_itself: bool, changes: &mut Vec<FleetChange>) {
         if let Some(halt) = &mut self.halt {
-            // Staff's word outlasts the fleet's own: no calm ends it.
+            // A halt by an operator replaces an automatic one and is not ended by the calm timer.
             if halt.by_itself && !by_itself {
                 (halt.note, halt.by_itself) = (note.clone(), false);
                 self.happened(None, "halted by staff as well", Some(note));
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Staff end a halt.
+    /// Ends a halt on an operator's request.
     pub(super) fn resume(&mut self, note: &AuditNote, changes: &mut Vec<FleetChange>) -> Answered {
         if self.halt.take().is_none() {
             return Err(FleetRefusal::NotHalted);
@@ -44,8 +44,8 @@
         Ok(FleetResponse::Done)
     }
 
-    /// Why the fleet should go on with nothing: more are missing that nobody asked out than the limits allow, or too much is
-    /// refused.
+    /// Returns the reason for an automatic halt, if there is one: more nodes or cache servers are missing
+    /// without a drain than the limits allow, or too many requests are refused.
     pub fn unwell(&self) -> Option<String> {
         let missing = [Kind::Node, Kind::Server].into_iter().find_map(|kind| self.too_many_missing(kind));
         missing.or_else(|| self.too_much_refused())
--- a/crates/mothpier-coordination/src/fleet/index.rs
+++ b/crates/mothpier-coordination/src/fleet/index.rs
@@ -1,9 +1,10 @@
-//! What the rule looks up with every command, kept up as the fleet changes: the node of a session, how many nodes do not
-//! list a cache server, who is out by zone, which confirmations a drain awaits. A command costs what it changes, not nodes
-//! times cache servers.
+//! Incremental indexes for the drain rules: the node of each session, how many nodes do not list a cache
+//! server, what is out in each zone, and the confirmations that a drain awaits. With them the cost of a
+//! command depends on what it changes, not on the number of nodes times cache servers.
 //!
-//! An index is derived from the fleet and never stored. [`Index::recompute`] derives it plainly; the index that was kept up
-//! equals it after each command (checked in debug builds on small fleets, and by `tests/fleet_index.rs`).
+//! The indexes are derived from the fleet and never stored. [`Index::recompute`] derives them from scratch.
+//! After each command the maintained indexes equal its result, which is checked in debug builds on small
+//! fleets and by `tests/fleet_index.rs`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -12,7 +13,7 @@
 use super::{Condition, Drain, Fleet, Node};
 use crate::command::SessionId;
 
-/// A value derived from the rest of its owner: it takes no part in comparisons and hashes.
+/// A value derived from the rest of its owner. It is ignored by comparisons and hashes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Derived<T>(pub(super) T);
 
@@ -28,29 +29,30 @@
     fn hash<H: Hasher>(&self, _: &mut H) {}
 }
 
-/// How many living nodes with a list do not list each cache server.
+/// For each cache server, how many live nodes that have reported a list do not list it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Listings {
-    /// Living nodes that have told a list.
+    /// Number of live nodes that have reported a list.
     telling: usize,
-    /// Cache servers that at least one of them does not list, and how many do not.
+    /// Number of these nodes that do not list a cache server, where there is at least one.
     unlisted: BTreeMap<String, usize>,
-    /// The same cache servers by that number.
+    /// The same cache servers, grouped by that number.
     by_count: BTreeMap<usize, BTreeSet<String>>,
 }
 
 impl Listings {
-    /// So many nodes not listing a cache server make it missing: half of those with a list.
+    /// The number of nodes not listing a cache server from which on it is missing: half of those that
+    /// reported a list.
     fn threshold(telling: usize) -> usize {
         telling.div_ceil(2).max(1)
     }
 
-    /// Whether at least half of the living nodes with a list do not list it.
+    /// Whether at least half of the live nodes with a list do not list the cache server.
     pub(super) fn is_missing(&self, id: &str) -> bool {
         self.unlisted.get(id).is_some_and(|count| *count >= Self::threshold(self.telling))
     }
 
-    /// Whether some living node lists it.
+    /// Whether at least one live node lists the cache server.
     pub(super) fn is_listed(&self, id: &str) -> bool {
         self.telling > self.unlisted.get(id).copied().unwrap_or(0)
     }
@@ -71,18 +73,19 @@
         }
     }
 
-    /// One node more, or one less, does not list it.
+    /// Counts one more or one fewer node that does not list the cache server.
     pub(super) fn count(&mut self, id: &str, more: bool) {
         let count = self.unlisted.get(id).copied().unwrap_or(0);
         self.set_count(id, if more { count + 1 } else { count.saturating_sub(1) });
     }
 
-    /// Nobody counts it any more: it is forgotten.
+    /// Removes a forgotten cache server.
     fn forget(&mut self, id: &str) {
         self.set_count(id, 0);
     }
 
-    /// Another number of nodes has a list: the cache servers that are missing now and were not, or the other way round.
+    /// Changes the number of nodes with a list, and returns the cache servers that became missing or ceased
+    /// to be missing.
     fn set_telling(&mut self, telling: usize) -> Vec<String> {
         let (before, now) = (Self::threshold(self.telling), Self::threshold(telling));
         self.telling = telling;
@@ -91,18 +94,18 @@
     }
 }
 
-/// Where a node or a cache server stands.
+/// The status of a node or a cache server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Place {
-    /// Its zone.
+    /// The zone.
     pub(super) zone: String,
-    /// It counts as out.
+    /// Whether it counts as out.
     pub(super) out: bool,
-    /// It is missing or not ready, and no granted drain has it.
+    /// Whether it is missing or not ready without a granted drain.
     pub(super) unasked: bool,
 }
 
-/// All nodes, or all cache servers, by whether they are out and where.
+/// The status of all nodes, or of all cache servers, with totals by zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Places {
     places: BTreeMap<String, Place>,
@@ -113,7 +116,7 @@
 }
 
 impl Places {
-    /// Puts one where it stands now; `None` where it belongs to the fleet no more.
+    /// Sets the status of one of them; `None` removes it from the fleet.
     fn put(&mut self, id: &str, place: Option<Place>) {
         if self.places.get(id) == place.as_ref() {
             return;
@@ -160,23 +163,23 @@
         self.out_by_zone.get(zone)
     }
 
-    /// How many a zone has.
+    /// The size of a zone.
     pub(super) fn total_of_zone(&self, zone: &str) -> usize {
         self.totals.get(zone).copied().unwrap_or(0)
     }
 
-    /// Those that are missing or not ready, and that nobody asked out.
+    /// Those that are missing or not ready without a granted drain.
     pub(super) fn unasked(&self) -> &BTreeSet<String> {
         &self.unasked
     }
 }
 
-/// Nodes that have not confirmed the stage of a cache server's drain.
+/// Number of nodes that have not confirmed the current stage of a cache server's drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Awaited {
-    /// With a session.
+    /// Nodes with a session.
     pub(super) living: usize,
-    /// Without one.
+    /// Nodes without a session.
     pub(super) missing: usize,
 }
 
@@ -186,7 +189,7 @@
     }
 }
 
-/// Living nodes that serve, and the sum of the parts of their requests that they refuse.
+/// Number of live and ready nodes, and the sum of their refusal percentages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Serving {
     nodes: u64,
@@ -208,7 +211,7 @@
         }
     }
 
-    /// The mean of these parts; `None` where no node serves.
+    /// The mean refusal percentage; `None` if no node serves.
     pub(super) fn mean(&self) -> Option<u64> {
         self.refused_percent.checked_div(self.nodes)
     }
@@ -221,26 +224,26 @@
     pub(super) sessions: BTreeMap<SessionId, String>,
     /// The drain of each subject.
     pub(super) drains: BTreeMap<Subject, u64>,
-    /// Who lists what.
+    /// Which cache servers are missing from nodes' lists.
     pub(super) listings: Listings,
-    /// The nodes.
+    /// Status of the nodes.
     pub(super) nodes: Places,
-    /// The cache servers.
+    /// Status of the cache servers.
     pub(super) servers: Places,
     /// The nodes that serve.
     pub(super) serving: Serving,
-    /// Confirmations that are awaited, by the number of the cache server's drain.
+    /// Confirmations still awaited by cache server drains, by drain number.
     pub(super) awaited: BTreeMap<u64, Awaited>,
-    /// Cache servers that return or are cold by a drain.
+    /// Number of cache servers that return or warm up at the end of a drain.
     pub(super) warming: usize,
-    /// Cache servers that have started by themselves and are cold.
+    /// Cache servers that warm up after a restart without a drain.
     pub(super) cold: BTreeSet<String>,
-    /// The cache servers by the number under which they became known.
+    /// Cache servers by registration number.
     pub(super) registered: BTreeMap<u64, String>,
 }
 
 impl Index {
-    /// All nodes, or all cache servers.
+    /// Returns the status index of nodes or of cache servers.
     pub(super) fn of(&self, kind: Kind) -> &Places {
         match kind {
             Kind::Node => &self.nodes,
@@ -255,7 +258,7 @@
         }
     }
 
-    /// Derives all of it plainly, looking at everything.
+    /// Derives all indexes from scratch.
     pub(super) fn recompute(fleet: &Fleet) -> Self {
         let mut index = Index { listings: recompute_listings(fleet), ..Index::default() };
         for (name, node) in &fleet.nodes {
@@ -270,7 +273,7 @@
             }
             index.registered.insert(server.registered, id.clone());
         }
-        // Cache servers of formats 1 and 2 have no number, and no delta asks for them.
+        // Cache servers of formats 1 and 2 have no registration number, and no delta refers to them.
         index.registered.remove(&0);
         for (number, drain) in &fleet.drains {
             index.drains.insert(drain.subject.clone(), *number);
@@ -315,28 +318,28 @@
     drain.subject.kind == Kind::Server && matches!(drain.stage, Stage::Returning | Stage::Cold)
 }
 
-/// Keeping it up: whoever changes a node, a cache server or a drain says so here.
+/// Index maintenance. Whoever changes a node, a cache server or a drain calls the matching method.
 impl Fleet {
     fn index_mut(&mut self) -> &mut Index {
         &mut self.index.0
     }
 
-    /// The indexes.
+    /// Returns the indexes.
     pub(super) fn index(&self) -> &Index {
         &self.index.0
     }
 
-    /// Derives them anew.
+    /// Derives all indexes again.
     pub(super) fn rebuild_index(&mut self) {
         self.index.0 = Index::recompute(self);
     }
 
-    /// Whether the indexes that were kept up are those that the plain computation gives. For tests.
+    /// Whether the maintained indexes equal those derived from scratch. For tests.
     pub fn index_is_current(&self) -> bool {
         *self.index() == Index::recompute(self)
     }
 
-    /// Looks where a node or a cache server stands now.
+    /// Recomputes the status of a node or a cache server.
     pub(super) fn update_place(&mut self, subject: &Subject) {
         let place = self.place(subject, self.index());
         self.index_mut().of_mut(subject.kind).put(&subject.id, place);
@@ -348,12 +351,12 @@
         }
     }
 
-    /// A node is as it is from now on: it is new, or was taken out by [`Fleet::node_out_of_index`].
+    /// Adds a node to the indexes that is new, or was removed by [`Fleet::node_out_of_index`].
     pub(super) fn node_into_index(&mut self, name: &str) {
         self.count_node(name, true);
     }
 
-    /// A node is about to change in its session, or to leave the fleet.
+    /// Removes a node from the indexes, before its session changes or it leaves the fleet.
     pub(super) fn node_out_of_index(&mut self, name: &str) {
         self.count_node(name, false);
     }
@@ -382,7 +385,7 @@
         }
     }
 
-    /// The list of a living node counts from now on, or no more.
+    /// Starts or stops counting the list of a live node.
     pub(super) fn count_list(&mut self, name: &str, more: bool) {
         let Some(node) = self.nodes.get(name) else { return };
         let listings = &mut self.index.0.listings;
@@ -395,7 +398,7 @@
         self.update_servers(moved);
     }
 
-    /// A node with a list lists a cache server, or does not.
+    /// Records whether a node lists a cache server.
     pub(super) fn set_listed(&mut self, name: &str, id: &str, listed: bool) {
         let Some(node) = self.nodes.get_mut(name) else { return };
         let changed = if listed { node.unlisted.remove(id) } else { node.unlisted.insert(id.into()) };
@@ -405,7 +408,7 @@
         }
     }
 
-    /// A node's readiness and the part of its requests that it refuses are others.
+    /// Sets a node's readiness and refusal percentage.
     pub(super) fn set_readiness(&mut self, name: &str, ready: bool, refused_percent: u8) {
         let Some(node) = self.nodes.get_mut(name) else { return };
         let serving = &mut self.index.0.serving;
@@ -415,7 +418,7 @@
         self.update_place(&Subject::node(name));
     }
 
-    /// A cache server is cold by a start of its own, or no more.
+    /// Sets or clears the start after which a cache server warms up.
     pub(super) fn set_cold(&mut self, id: &str, cold: Option<u64>) {
         let Some(server) = self.servers.get_mut(id) else { return };
         server.cold = cold;
@@ -428,7 +431,7 @@
         self.update_place(&Subject::server(id));
     }
 
-    /// A cache server has become known.
+    /// Adds a newly registered cache server to the indexes.
     pub(super) fn server_into_index(&mut self, id: &str) {
         let Some(server) = self.servers.get(id) else { return };
         let (registered, cold) = (server.registered, server.cold);
@@ -436,7 +439,7 @@
         self.set_cold(id, cold);
     }
 
-    /// A cache server is forgotten, and no node's list has it.
+    /// Removes a forgotten cache server from the indexes. No node's list may contain it any more.
     pub(super) fn server_out_of_index(&mut self, id: &str, registered: u64) {
         let index = self.index_mut();
         index.registered.remove(&registered);
@@ -445,12 +448,12 @@
         self.update_place(&Subject::server(id));
     }
 
-    /// The cache servers have no numbers any more.
+    /// Clears the registration numbers of the cache servers.
     pub(super) fn forget_registrations(&mut self) {
         self.index_mut().registered.clear();
     }
 
-    /// A drain is as it is from now on, with none or all of its confirmations.
+    /// Adds a drain to the indexes, with none or all of its confirmations.
     pub(super) fn drain_into_index(&mut self, number: u64) {
         let Some(drain) = self.drains.get(&number) else { return };
         let subject = drain.subject.clone();
@@ -465,7 +468,7 @@
         self.update_place(&subject);
     }
 
-    /// A drain is about to change its stage, or has just ended.
+    /// Removes a drain from the indexes, before its stage changes or after it has ended.
     pub(super) fn drain_out_of_index(&mut self, number: u64, drain: &Drain) {
         let index = self.index_mut();
         index.drains.remove(&drain.subject);
@@ -474,7 +477,7 @@
         self.update_place(&drain.subject);
     }
 
-    /// Nodes that have not confirmed a drain's stage. With no confirmation these are all nodes.
+    /// Counts the nodes that have not confirmed a drain's stage; without confirmations these are all nodes.
     fn awaited(&self, drain: &Drain) -> Awaited {
         let living = self.index().sessions.len();
         let mut awaited = Awaited { living, missing: self.nodes.len() - living };
@@ -484,7 +487,7 @@
         awaited
     }
 
-    /// A node has confirmed a drain's stage, for the first time.
+    /// Counts the first confirmation of a drain's stage by a node.
     pub(super) fn confirmed_in_index(&mut self, number: u64, living: bool) {
         if let Some(awaited) = self.index_mut().awaited.get_mut(&number) {
             *awaited.of(living) -= 1;
--- a/crates/mothpier-coordination/src/fleet/limits.rs
+++ b/crates/mothpier-coordination/src/fleet/limits.rs
@@ -1,23 +1,23 @@
-//! How much of a fleet may be out, as its staff state it.
+//! Limits on drains, as set by operators.
 
 use serde::{Deserialize, Serialize};
 
-/// How many of a kind may be out. What is not stated does not bind.
+/// Limits for nodes or for cache servers. An absent limit does not apply.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// At most so many, the dead and the unready among them.
+    /// Maximum number that may be out, including those that are missing or not ready.
     pub out_most: u32,
-    /// At most this part of all, in percent, rounded down.
+    /// Maximum percentage that may be out, rounded down.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub out_percent: Option<u32>,
-    /// At most so many of a zone.
+    /// Maximum number that may be out in one zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone_out_most: Option<u32>,
-    /// So many stay in service.
+    /// Minimum number that must stay in service.
     #[serde(default)]
     pub ready_fewest: u32,
-    /// So many of a zone do.
+    /// Minimum number that must stay in service in each zone.
     #[serde(default)]
     pub zone_ready_fewest: u32,
 }
@@ -26,27 +26,28 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Of nodes.
+    /// Limits for nodes.
     pub nodes: Bound,
-    /// Of cache servers.
+    /// Limits for cache servers.
     pub servers: Bound,
-    /// Cache servers that come back and are not yet what they were, at most.
+    /// Maximum number of cache servers that return or warm up at the same time.
     pub cold_most: u32,
-    /// For how long one that comes back or has started counts as cold.
+    /// Warm-up time of a cache server after its return or a start.
     pub cold_ms: u64,
-    /// The fleet halts where its ready nodes refuse or fail this part of their requests on average.
+    /// Mean percentage of refused or failed requests over the ready nodes from which on the fleet halts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused_percent: Option<u32>,
-    /// A halt by the fleet itself ends after this time without its cause; else staff end it.
+    /// Time without a cause after which an automatic halt ends. If absent, an operator has to end it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub calm_ms: Option<u64>,
 }
 
-/// A day: the longest time that a limit may state.
+/// The longest time that a limit may specify: one day.
 const LONGEST_MS: u64 = 24 * 3600 * 1000;
 
 impl Default for Limits {
-    /// One at a time, a minute to warm up: careful, until staff say what their fleet bears.
+    /// One at a time with a minute of warm-up: careful defaults until operators set limits that suit their
+    /// fleet.
     fn default() -> Self {
         let one = Bound {
             out_most: 1,
@@ -67,7 +68,7 @@
 }
 
 impl Limits {
-    /// What is wrong with them, in words.
+    /// Returns a description of the first invalid value, if any.
     pub fn wrong(&self) -> Option<String> {
         let percent = |name: &str, value: Option<u32>| {
             value.filter(|v| *v > 100).map(|v| format!("{name}: {v} is over 100 percent"))
--- a/crates/mothpier-coordination/src/fleet/membership.rs
+++ b/crates/mothpier-coordination/src/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! Nodes that join, end and are forgotten, and cache servers that are.
+//! Joining, losing and forgetting nodes, and forgetting cache servers.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use crate::limits::is_name;
 
 impl Fleet {
-    /// A process takes a node's name.
+    /// Registers the process of a session as a node, replacing any earlier process of that name.
     pub(super) fn join(&mut self, session: &str, name: &str, zone: &str) -> Answered {
         if !is_name(name) || !(zone.is_empty() || is_name(zone)) {
             return Err(bad("a node's name and zone take letters, digits and -_.:@/"));
@@ -34,7 +34,7 @@
         };
         self.node_out_of_index(name);
         self.nodes.insert(name.into(), node);
-        // What the process before did, this one may not have done.
+        // The new process may not have put into effect what the previous one confirmed.
         for drain in self.drains.values_mut() {
             drain.confirmed.remove(name);
         }
@@ -43,12 +43,12 @@
         Ok(FleetResponse::Done)
     }
 
-    /// The node whose process has this session.
+    /// Returns the node whose process has this session.
     pub(super) fn node_of(&self, session: &str) -> Result<String, FleetRefusal> {
         self.index().sessions.get(session).cloned().ok_or(FleetRefusal::NoNode)
     }
 
-    /// A session has ended.
+    /// Records that a session has ended.
     pub fn session_over(&mut self, session: &str, changes: &mut Vec<FleetChange>) {
         let Ok(name) = self.node_of(session) else { return };
         self.node_out_of_index(&name);
@@ -61,7 +61,7 @@
         self.check_index();
     }
 
-    /// Whether the fleet has it.
+    /// Whether the node or cache server belongs to the fleet.
     pub(super) fn knows(&self, subject: &Subject) -> bool {
         match subject.kind {
             Kind::Node => self.nodes.contains_key(&subject.id),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A node or a cache server that is gone belongs to the fleet no more.
+    /// Removes a node that is gone, or a cache server that nobody lists, from the fleet.
     pub(super) fn forget(
         &mut self,
         subject: &Subject,
--- a/crates/mothpier-coordination/src/fleet/messages.rs
+++ b/crates/mothpier-coordination/src/fleet/messages.rs
@@ -1,4 +1,5 @@
-//! What is asked of a fleet's agreement, what is answered, and what nodes are told. Part of the log and of the wire.
+//! Commands, responses and change notifications of the fleet. They are written to the log and sent over the
+//! wire.
 
 use std::fmt;
 
@@ -6,7 +7,7 @@
 
 use super::limits::Limits;
 
-/// What can be out.
+/// The kind of a subject of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -17,7 +18,7 @@
 }
 
 impl Kind {
-    /// In one word.
+    /// The singular name, as used in messages.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Node => "node",
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Several of them.
+    /// The plural name, as used in messages.
     pub fn names(self) -> &'static str {
         match self {
             Kind::Node => "nodes",
@@ -38,19 +39,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Subject {
-    /// Which of the two.
+    /// Whether it is a node or a cache server.
     pub kind: Kind,
-    /// Its name, or its id.
+    /// The name of the node, or the id of the cache server.
     pub id: String,
 }
 
 impl Subject {
-    /// A node.
+    /// Creates the subject for a node.
     pub fn node(id: &str) -> Self {
         Subject { kind: Kind::Node, id: id.into() }
     }
 
-    /// A cache server.
+    /// Creates the subject for a cache server.
     pub fn server(id: &str) -> Self {
         Subject { kind: Kind::Server, id: id.into() }
     }
@@ -62,211 +63,212 @@
     }
 }
 
-/// Who says something, why, and when by that one's wall clock: kept and shown, never reckoned with.
+/// Who requested something, why, and when by their own wall clock. Stored and displayed, never used for
+/// decisions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AuditNote {
-    /// Who.
+    /// Who requested it.
     pub by: String,
-    /// Why.
+    /// The reason.
     pub reason: String,
-    /// Unix time, ms.
+    /// Unix time in ms.
     pub at_ms: u64,
 }
 
-/// A cache server as a node lists it.
+/// A cache server in a node's list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listed {
-    /// Its id.
+    /// The id of the cache server.
     pub id: String,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// Since when it is up, as the list says: another value is another start.
+    /// Start time from the server list: a different value means that the cache server has restarted.
     pub up_since_ms: u64,
 }
 
-/// What a node says of itself and of what it sees.
+/// A node's report about itself and the cache servers it sees.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
-    /// It serves: it has said that it is ready.
+    /// Whether the node has declared itself ready to serve.
     pub ready: bool,
-    /// Part of its requests that it lately refused or failed, in percent.
+    /// Percentage of its recent requests that the node refused or failed.
     pub refused_percent: u8,
-    /// The cache servers that it lists as ready, all of them; `None` where nothing changed.
+    /// All cache servers that the node lists as ready; `None` if nothing has changed.
     pub servers: Option<Vec<Listed>>,
 }
 
-/// A report with a number, which may carry only what changed since the one before it.
+/// A numbered report, which may contain only the changes since the previous one.
 ///
-/// A node numbers its reports from 1 within a session. One report is under way at a time: the next is made once the one
-/// before it was answered.
+/// A node numbers its reports from 1 within a session. Only one report is in flight at a time: the next one
+/// is created after the previous one was answered.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NumberedReport {
     /// The number of this report.
     pub number: u64,
-    /// The node serves: it has said that it is ready.
+    /// Whether the node has declared itself ready to serve.
     pub ready: bool,
-    /// Part of its requests that it lately refused or failed, in percent.
+    /// Percentage of its recent requests that the node refused or failed.
     pub refused_percent: u8,
-    /// The cache servers that it lists as ready.
+    /// The cache servers that the node lists as ready.
     pub servers: ReportedServers,
 }
 
-/// How a numbered report tells the cache servers that the node lists as ready.
+/// The cache servers that a node lists as ready, as sent in a numbered report.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "list", rename_all = "snake_case", deny_unknown_fields)]
 pub enum ReportedServers {
     /// The node has no list yet.
     Unknown,
-    /// All of them.
+    /// The whole list.
     Whole {
-        /// The whole list.
+        /// The listed cache servers.
         listed: Vec<Listed>,
     },
-    /// As an earlier report told them.
+    /// The same list as in an earlier report.
     Unchanged {
-        /// The number of that report: it has to be the last one that the coordinators took.
+        /// The number of that report, which must be the last one that the coordinators accepted.
         base: u64,
     },
-    /// What changed since an earlier report.
+    /// The changes since an earlier report.
     Delta {
-        /// The number of that report: it has to be the last one that the coordinators took.
+        /// The number of that report, which must be the last one that the coordinators accepted.
         base: u64,
-        /// Lines that are new or changed.
+        /// New or changed cache servers.
         listed: Vec<Listed>,
-        /// Ids that are not in the list any more.
+        /// Ids of cache servers that are no longer listed.
         unlisted: Vec<String>,
     },
 }
 
-/// What happens at a drain's latest end.
+/// What happens when the maximum duration of a drain is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Then {
-    /// It stays out, and is shown as overdue.
+    /// The subject stays out and is shown as overdue.
     Stay,
-    /// It comes back.
+    /// The subject returns to service.
     Back,
 }
 
-/// What is asked.
+/// A command to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "fleet", rename_all = "snake_case", deny_unknown_fields)]
 pub enum FleetCommand {
-    /// A node is there, by the session that asks; it takes the place of whatever process had its name.
+    /// Registers the process of the session as a node, replacing any earlier process of that name.
     Join {
-        /// Its name.
+        /// The name of the node.
         node: String,
-        /// Its zone.
+        /// The zone of the node.
         zone: String,
     },
-    /// A node reports.
+    /// Sends a report of a node.
     Report {
-        /// What.
+        /// The report.
         report: Report,
     },
-    /// A node reports by number. Coordinators before format 3 can't read this one.
+    /// Sends a numbered report of a node. Coordinators before format 3 cannot read this command.
     NumberedReport {
-        /// What.
+        /// The report.
         report: NumberedReport,
     },
-    /// A node has done what the drain's stage asks for.
+    /// Confirms that a node has done what the current stage of a drain requires.
     Confirm {
-        /// The drain's number.
+        /// The number of the drain.
         drain: u64,
-        /// The number of the stage: what is confirmed of an earlier one counts no more.
+        /// The number of the stage. Confirmations of an earlier stage do not count.
         turn: u64,
     },
-    /// A node or a cache server is to go out.
+    /// Drains a node or a cache server.
     Drain {
-        /// Which.
+        /// What to drain.
         subject: Subject,
-        /// Who wants it and why.
+        /// Who requested it and why.
         #[serde(rename = "word")]
         note: AuditNote,
-        /// Its latest end, ms after it was granted.
+        /// Maximum duration, in ms from the grant.
         for_ms: Option<u64>,
-        /// What happens then.
+        /// What happens when the maximum duration is over.
         then: Then,
-        /// It waits for a place.
+        /// Whether the drain may wait until the limits allow it.
         wait: bool,
-        /// It goes past the limits, and past a halt.
+        /// Whether the drain ignores the limits and a halt.
         force: bool,
     },
-    /// It is to come back.
+    /// Ends a drain.
     Back {
-        /// Which.
+        /// What to return to service.
         subject: Subject,
-        /// Who wants it and why.
+        /// Who requested it and why.
         #[serde(rename = "word")]
         note: AuditNote,
     },
-    /// Nothing more goes out.
+    /// Halts the fleet: nothing more is drained.
     Halt {
-        /// Who wants it and why.
+        /// Who requested it and why.
         #[serde(rename = "word")]
         note: AuditNote,
     },
-    /// The halt is over.
+    /// Ends the halt.
     Resume {
-        /// Who wants it and why.
+        /// Who requested it and why.
         #[serde(rename = "word")]
         note: AuditNote,
     },
-    /// A node that does not run any more, or a cache server that nobody lists, belongs to the fleet no more.
+    /// Removes a node that no longer runs, or a cache server that nobody lists, from the fleet.
     Forget {
-        /// Which.
+        /// What to remove.
         subject: Subject,
-        /// Who says so and why.
+        /// Who requested it and why.
         #[serde(rename = "word")]
         note: AuditNote,
     },
-    /// The limits are others.
+    /// Sets the limits.
     Limits {
-        /// Which.
+        /// The new limits.
         limits: Limits,
-        /// Who wants it and why.
+        /// Who requested it and why.
         #[serde(rename = "word")]
         note: AuditNote,
     },
 }
 
-/// What came of it.
+/// The response to a fleet command.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "fleet", rename_all = "snake_case", deny_unknown_fields)]
 pub enum FleetResponse {
-    /// It is so.
+    /// The command succeeded.
     Done,
-    /// There is a drain.
+    /// The command concerns a drain.
     Drain {
-        /// Its number.
+        /// The number of the drain.
         number: u64,
-        /// How far it is.
+        /// The stage of the drain.
         stage: Stage,
     },
 }
 
-/// How far a drain is.
+/// The stage of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// It waits for a place.
+    /// Requested, and waiting until the limits allow it.
     Asked,
-    /// It was granted; not all have confirmed that they send nothing more.
+    /// Granted, but not all nodes have confirmed that they send nothing more.
     Leaving,
-    /// All have.
+    /// All nodes have confirmed.
     Out,
-    /// It may serve again; not all that live have heard it.
+    /// Allowed to serve again, but not all live nodes have confirmed that they know.
     Returning,
-    /// It serves, and its cache is not what it was.
+    /// In service while the cache warms up.
     Cold,
 }
 
 impl Stage {
-    /// In one word.
+    /// The name of the stage, as used in messages.
     pub fn name(self) -> &'static str {
         match self {
             Stage::Asked => "asked",
@@ -278,64 +280,64 @@
     }
 }
 
-/// Why nothing has changed.
+/// Why a fleet command was refused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "because", rename_all = "snake_case", deny_unknown_fields)]
 pub enum FleetRefusal {
-    /// The session is no node's, or another process has taken the node's name since.
+    /// The session does not belong to a node, or another process has since taken the node's name.
     NoNode,
-    /// The fleet knows no such node or cache server.
+    /// The fleet has no such node or cache server.
     Unknown {
-        /// Which.
+        /// The unknown subject.
         subject: Subject,
     },
-    /// It is on its way out, or out.
+    /// There is already a drain of the subject.
     Already {
-        /// The drain's number.
+        /// The number of the drain.
         number: u64,
-        /// How far it is.
+        /// The stage of the drain.
         stage: Stage,
     },
-    /// It is not out.
+    /// The subject has no drain.
     NotOut,
-    /// A limit is used up.
+    /// A limit does not allow another drain.
     Limit {
-        /// Which, and by whom.
+        /// The limit, and what counts against it.
         blocked: Blocked,
     },
-    /// The fleet has halted.
+    /// The fleet is halted.
     Halted {
         /// Who halted it and why.
         #[serde(rename = "word")]
         note: AuditNote,
     },
-    /// It has not halted.
+    /// The fleet is not halted.
     NotHalted,
-    /// It lives: what lives is not forgotten.
+    /// The subject is still alive and cannot be forgotten.
     Lives,
-    /// The report builds on another one than the last that was taken: the whole list is wanted.
+    /// The report is based on another one than the last accepted report, so the whole list is needed.
     UnknownBase {
-        /// The number of the last report that was taken; 0 for none.
+        /// The number of the last accepted report; 0 if there is none.
         last: u64,
     },
-    /// What was asked can't be.
+    /// The command is invalid.
     Bad {
         /// What is wrong with it.
         what: String,
     },
 }
 
-/// A limit that is used up.
+/// A limit that does not allow another drain.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Blocked {
-    /// The limit's name, as the file that states it has it.
+    /// The name of the limit, as in the limits file.
     pub limit: String,
-    /// The limit.
+    /// The value of the limit.
     pub most: u64,
-    /// Who uses it up and how: at most the first few.
+    /// What counts against the limit and why: at most the first few entries.
     pub by: Vec<String>,
-    /// How many these are.
+    /// How many count against it in total.
     pub count: u64,
 }
 
@@ -370,37 +372,37 @@
     }
 }
 
-/// A drain as a node needs to know it.
+/// A drain as sent to nodes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Told {
-    /// Its number.
+    /// The number of the drain.
     pub drain: u64,
-    /// Of what.
+    /// What is drained.
     pub subject: Subject,
-    /// How far it is.
+    /// The stage of the drain.
     pub stage: Stage,
     /// The number of that stage.
     pub turn: u64,
 }
 
-/// What watchers are told.
+/// A change of the fleet as sent to watchers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "fleet", rename_all = "snake_case", deny_unknown_fields)]
 pub enum FleetChange {
-    /// A drain is as far as this.
+    /// A drain has reached a stage.
     Drain {
         /// The drain.
         told: Told,
     },
-    /// A drain is no more.
+    /// A drain has ended.
     Ended {
-        /// Its number.
+        /// The number of the drain.
         drain: u64,
     },
-    /// A halt, or the end of one.
+    /// The fleet was halted, or a halt has ended.
     Halted {
-        /// Whether it is one.
+        /// Whether the fleet is halted.
         halted: bool,
     },
 }
--- a/crates/mothpier-coordination/src/fleet/mod.rs
+++ b/crates/mothpier-coordination/src/fleet/mod.rs
@@ -1,20 +1,21 @@
-//! Who is out, who may go next, and when the fleet halts: the rule on drains, as a part of the agreed state. Pure; what
-//! follows from a command is done within it, so that every coordinator decides the same.
+//! Fleet-wide drains as part of the replicated state: what is out of service, whether another drain may be
+//! granted, and when the fleet halts. Pure code without I/O. All consequences of a command are applied
+//! within it, so that every coordinator reaches the same state.
 //!
-//! | module | what it holds |
+//! | module | purpose |
 //! | --- | --- |
-//! | `messages` | commands, answers and refusals, as they stand in the log and on the wire |
-//! | `limits` | how much may be out, as staff state it |
-//! | `membership` | nodes that join, end and are forgotten |
-//! | `reports` | nodes' reports: whole lists and deltas |
-//! | `drains` | drains that are asked for, confirmed and taken back |
-//! | `rule` | who counts as out, and whether one more may go |
-//! | `progress` | what follows from a command |
-//! | `halts` | halts of staff and of the fleet itself |
-//! | `due`, `timers` | what is due after a time, and when a leader proposes it |
-//! | `index` | what the rule looks up, kept up as the fleet changes |
-//! | `stored` | a fleet as snapshots and answers hold it |
-//! | `follow`, `reporter` | a node's part: what it keeps out and confirms, and what it reports |
+//! | `messages` | commands, responses and refusals, as in the log and on the wire |
+//! | `limits` | limits on drains, as set by operators |
+//! | `membership` | joining, losing and forgetting nodes |
+//! | `reports` | reports of nodes: whole lists and deltas |
+//! | `drains` | starting, confirming and cancelling drains |
+//! | `rule` | what counts as out, and whether the limits allow another drain |
+//! | `progress` | consequences of a command: grants, completed stages, returns |
+//! | `halts` | halts by operators and automatic halts |
+//! | `due`, `timers` | timers, and when the leader proposes that they have fired |
+//! | `index` | incremental indexes for the drain rules |
+//! | `stored` | the fleet as stored in snapshots and shown to clients |
+//! | `follow`, `reporter` | a node's part: the drains it puts into effect and confirms, and its reports |
 
 mod drains;
 mod due;
@@ -44,46 +45,47 @@
 use crate::command::SessionId;
 use crate::limits::NAME;
 
-/// Nodes that a fleet may have: the 6,300 that are planned, and three tenths for those that were replaced and that nobody
-/// has forgotten yet, a day and a half were each of 1,200 restarts a day a new name. Sessions are twice as
-/// many: a process that takes a node's name may live beside the one before.
+/// Maximum number of nodes: the planned 6,300 and 30 percent for nodes that were replaced and not yet
+/// forgotten, which covers a day and a half if each of 1,200 restarts a day used a new name. There may be
+/// twice as many sessions, because a process that takes over a node's name may run beside the previous one.
 pub const NODES: usize = 8_192;
-/// Cache servers: the 1,500 that are planned, and a third more.
+/// Maximum number of cache servers: the planned 1,500 and a third more.
 pub const SERVERS: usize = 2_048;
-/// Drains that have not ended.
+/// Maximum number of drains that have not ended.
 pub const DRAINS: usize = 1_024;
-/// Bytes of a reason.
+/// Maximum length of a reason, in bytes.
 pub const REASON: usize = 500;
-/// What happened is kept for so many events.
+/// Number of events that are kept.
 pub const EVENTS: usize = 1_000;
-/// The latest end of a drain, ms from its grant: thirty days.
+/// Longest maximum duration of a drain, in ms from its grant: 30 days.
 pub const LONGEST_MS: u64 = 30 * 24 * 3600 * 1000;
-/// Names in a refusal.
+/// Maximum number of subjects that a refusal names.
 const NAMED: usize = 5;
-/// Debug builds compare the indexes with the plain computation after each command while nodes times cache servers are no
-/// more than this.
+/// Debug builds compare the indexes with ones derived from scratch after each command, up to this number of
+/// nodes times cache servers.
 const CHECKED: usize = 256;
 
-/// A condition of the rule. A model leaves one out to see that its absence is found; nothing else does.
+/// A condition of the drain rules. Models leave one out to check that its absence is detected; nothing else
+/// does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Condition {
-    /// The dead and the unready count as out.
+    /// Missing and unready subjects count as out.
     DeadCount,
     /// Missing nodes have to confirm as well.
     AllConfirm,
-    /// A confirmation counts for the stage that it was made of alone.
+    /// A confirmation counts only for the stage it was made for.
     OfThisTurn,
-    /// What is cold counts as out.
+    /// Cache servers that warm up count as out.
     ColdCounts,
-    /// A halt takes back what is asked.
+    /// A halt cancels waiting drains.
     HaltTakesBack,
-    /// A halt brings back what is leaving.
+    /// A halt returns leaving subjects to service.
     HaltBringsBack,
-    /// A delta builds on the last report that was taken, and on no other.
+    /// A delta must be based on the last accepted report.
     BaseMatches,
-    /// A report that comes again changes nothing.
+    /// A repeated report changes nothing.
     ReportOnce,
-    /// The list of a node whose session has ended counts no more.
+    /// The list of a node whose session has ended no longer counts.
     EndUncounts,
 }
 
@@ -91,34 +93,34 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Its zone.
+    /// The zone of the node.
     pub zone: String,
-    /// The session of the process that has its name, while that lives.
+    /// The session of the node's process, while it is open.
     pub session: Option<SessionId>,
-    /// It serves, by its own word.
+    /// Whether the node has declared itself ready to serve.
     pub ready: bool,
-    /// Part of its requests that it refused or failed.
+    /// Percentage of its requests that the node refused or failed.
     pub refused_percent: u8,
-    /// It has told its list.
+    /// Whether the node has reported a list.
     pub lists: bool,
-    /// Cache servers that are not in it as ready.
+    /// Cache servers that the node does not list as ready.
     pub unlisted: BTreeSet<String>,
-    /// The number of its last report that was taken; 0 where it has none. Formats 1 and 2 had none.
+    /// Number of the last accepted report; 0 if there is none. Absent in formats 1 and 2.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub report: u64,
-    /// The number of the last cache server that was registered when it last told its list: those registered later were
-    /// not in that list. Formats 1 and 2 had none.
+    /// Highest registration number of a cache server when the node last reported its list. Cache servers
+    /// with higher numbers were not in that list. Absent in formats 1 and 2.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub registered: u64,
 }
 
 impl Node {
-    /// It lives and serves.
+    /// Whether the node is alive and ready.
     fn is_serving(&self) -> bool {
         self.session.is_some() && self.ready
     }
 
-    /// It lives and has told its list.
+    /// Whether the node is alive and has reported a list.
     fn is_telling(&self) -> bool {
         self.session.is_some() && self.lists
     }
@@ -128,13 +130,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Its zone.
+    /// The zone of the cache server.
     pub zone: String,
-    /// Since when it is up, by the lists.
+    /// Start time, as in the nodes' lists.
     pub up_since_ms: u64,
-    /// It has started lately, and nobody took it out for that: the number of that start.
+    /// Number of the start after which the cache server warms up, if it started without a drain.
     pub cold: Option<u64>,
-    /// Cache servers are numbered as they become known. Formats 1 and 2 had no numbers.
+    /// Registration number, in the order in which cache servers became known. Absent in formats 1 and 2.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub registered: u64,
 }
@@ -143,87 +145,87 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
-    /// Of what.
+    /// What is drained.
     pub subject: Subject,
-    /// Who wants it and why.
+    /// Who requested it and why.
     #[serde(rename = "word")]
     pub note: AuditNote,
-    /// Its latest end, ms after it was granted.
+    /// Maximum duration, in ms from the grant.
     pub for_ms: Option<u64>,
-    /// What happens then.
+    /// What happens when the maximum duration is over.
     pub then: Then,
-    /// It goes past the limits.
+    /// Whether the drain ignores the limits.
     pub force: bool,
-    /// How far it is.
+    /// The stage of the drain.
     pub stage: Stage,
     /// The number of that stage.
     pub turn: u64,
-    /// It is to come back: its place among those that wait for that.
+    /// Set if the subject is to return to service: its position in the queue of returns.
     pub back: Option<u64>,
-    /// Its latest end is over, and it stays.
+    /// The maximum duration is over, and the subject stays out.
     pub overdue: bool,
-    /// Some node has sent it nothing for a while.
+    /// At least one node has stopped sending requests to the subject.
     pub touched: bool,
-    /// Nodes that have confirmed the stage.
+    /// Nodes that have confirmed the current stage.
     pub confirmed: BTreeSet<String>,
 }
 
-/// A halt.
+/// A halt of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Halt {
-    /// Who halted, and why.
+    /// Who halted the fleet and why.
     #[serde(rename = "word")]
     pub note: AuditNote,
-    /// The fleet itself did.
+    /// Whether the halt is automatic.
     pub by_itself: bool,
-    /// Its number.
+    /// The number of the halt.
     pub number: u64,
 }
 
-/// Something that happened.
+/// An event in the history of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    /// To what; `None` for the whole fleet.
+    /// The node or cache server concerned; `None` for the whole fleet.
     pub subject: Option<Subject>,
-    /// What.
+    /// What happened.
     pub what: String,
-    /// Whose word it was; nobody's where it followed by itself.
+    /// Who requested it and why; `None` if it was a consequence of something else.
     #[serde(rename = "word")]
     pub note: Option<AuditNote>,
 }
 
-/// A fleet as it is agreed.
+/// The replicated state of a fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "stored::StoredFleet")]
 pub struct Fleet {
-    /// The limits.
+    /// The limits on drains.
     pub limits: Limits,
-    /// The nodes.
+    /// The nodes by name.
     pub nodes: BTreeMap<String, Node>,
-    /// The cache servers.
+    /// The cache servers by id.
     pub servers: BTreeMap<String, Server>,
-    /// The drains that have not ended.
+    /// The drains that have not ended, by number.
     pub drains: BTreeMap<u64, Drain>,
-    /// The halt, while there is one.
+    /// The current halt, if any.
     pub halt: Option<Halt>,
-    /// What happened, the latest last.
+    /// The latest events, the last one at the end.
     pub events: VecDeque<Event>,
-    /// The last number of a drain, a stage, a halt or a start.
+    /// Last number given to a drain, a stage, a queued return, a halt or a start.
     numbers: u64,
-    /// The number of the cache server that became known last. Formats 1 and 2 had none.
+    /// Last registration number given to a cache server. Absent in formats 1 and 2.
     #[serde(default, skip_serializing_if = "is_zero")]
     registered: u64,
     /// The condition that a model leaves out.
     #[serde(skip)]
     without: Option<Condition>,
-    /// Derived from the rest.
+    /// Indexes, derived from the other fields.
     #[serde(skip)]
     index: Derived<Index>,
 }
 
-/// Whether a number that an older format did not have can be left out.
+/// Whether a number that older formats do not have can be left out.
 fn is_zero(number: &u64) -> bool {
     *number == 0
 }
@@ -235,7 +237,7 @@
 }
 
 impl Fleet {
-    /// The same rule without one condition, for a model to refute.
+    /// Leaves out one condition of the drain rules, for models only.
     pub fn without(mut self, condition: Option<Condition>) -> Self {
         self.without = condition;
         self.rebuild_index();
@@ -258,13 +260,13 @@
         }
     }
 
-    /// Takes what a session asks, and all that follows from it.
+    /// Applies a command of a session with all its consequences.
     pub fn ask(&mut self, session: &str, ask: &FleetCommand, changes: &mut Vec<FleetChange>) -> Answered {
         let answer = self.take(session, ask, changes)?;
         self.go_on(changes);
         self.check_index();
         Ok(match answer {
-            // What followed may have carried it further.
+            // The consequences may have moved the drain to a later stage.
             FleetResponse::Drain { number, .. } => {
                 let stage = self.drains.get(&number).map_or(Stage::Asked, |d| d.stage);
                 FleetResponse::Drain { number, stage }
@@ -317,8 +319,8 @@
         Ok(FleetResponse::Done)
     }
 
-    /// Compares the indexes with the plain computation where that is cheap. A model that leaves out their upkeep is told by
-    /// its own properties.
+    /// Checks the indexes in debug builds where that is cheap. Not checked for models that leave out index
+    /// maintenance, because their own properties have to detect that.
     fn check_index(&self) {
         debug_assert!(
             self.nodes.len() * self.servers.len() > CHECKED
@@ -328,7 +330,7 @@
         );
     }
 
-    /// A word that can be kept.
+    /// Checks the length limits of a note.
     fn said(&self, note: &AuditNote) -> Result<(), FleetRefusal> {
         if note.by.is_empty() || note.by.len() > NAME {
             return Err(bad("who wants this has to be named, in at most 128 bytes"));
@@ -339,7 +341,7 @@
         Ok(())
     }
 
-    /// Whether its parts fit together.
+    /// Whether the fleet is consistent and within its limits.
     pub fn is_whole(&self) -> bool {
         self.nodes.len() <= NODES
             && self.servers.len() <= SERVERS
--- a/crates/mothpier-coordination/src/fleet/progress.rs
+++ b/crates/mothpier-coordination/src/fleet/progress.rs
@@ -1,4 +1,4 @@
-//! What follows from a command: grants, ends of stages, ways back.
+//! Consequences of a command: automatic halts, grants, completed stages and returns to service.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use super::{Condition, Drain, Fleet};
 
 impl Fleet {
-    /// All that has become possible: halts, grants, ends of stages.
+    /// Applies everything that has become possible: automatic halts, grants and completed stages.
     pub(super) fn go_on(&mut self, changes: &mut Vec<FleetChange>) {
         if self.halt.is_none()
             && self.drains.values().any(|d| d.stage <= Stage::Leaving && !d.force)
@@ -15,7 +15,8 @@
             let note = AuditNote { by: "the fleet".into(), reason: why, at_ms: 0 };
             self.stop(note, true, changes);
         }
-        // An end makes room for one that was asked before it: looked at again until nothing moves.
+        // A drain that ends may make room for one that was requested earlier, so repeat until nothing
+        // changes.
         loop {
             let before = (self.numbers, self.drains.len());
             self.stages(changes);
@@ -28,8 +29,8 @@
 
     fn stages(&mut self, changes: &mut Vec<FleetChange>) {
         let numbers: Vec<u64> = self.drains.keys().copied().collect();
-        // Hundreds may wait: while all places are taken nobody is looked at who does not have one. A place that becomes free
-        // on the way is given in the next round, for one that was passed over comes first.
+        // Hundreds of drains may be waiting, so skip them while no more may be out. If room is freed within
+        // this pass, it is granted in the next one, because drains that were skipped come first.
         let mut full = BTreeMap::new();
         for number in numbers {
             let Some(drain) = self.drains.get(&number) else { continue };
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Whether a drain that is asked for is granted now.
+    /// Whether a requested drain can be granted now.
     fn may_leave(&self, drain: &Drain, is_full: bool) -> bool {
         if drain.force {
             return true;
@@ -68,7 +69,7 @@
         if drain.subject.kind == Kind::Node || !drain.touched {
             return self.is_back(number, changes);
         }
-        // One start, one time to warm up: that of the drain.
+        // A restart during a drain does not need a warm-up of its own.
         let id = drain.subject.id.clone();
         self.set_cold(&id, None);
         self.to(number, Stage::Cold, changes);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// A drain has ended, and its subject serves.
+    /// Ends a drain whose subject serves again.
     pub(super) fn is_back(&mut self, number: u64, changes: &mut Vec<FleetChange>) {
         let subject = self.drains.get(&number).map(|d| d.subject.clone());
         self.happened(subject, "back", None);
--- a/crates/mothpier-coordination/src/fleet/reporter.rs
+++ b/crates/mothpier-coordination/src/fleet/reporter.rs
@@ -1,20 +1,22 @@
-//! A node's reports: the whole list of ready cache servers first, then only what changed, and the whole list again where
-//! the coordinators do not have the report that a delta builds on. Pure; whoever drives it sends and hands in the answers.
+//! Reports of a node: first the whole list of ready cache servers, then only changes, and the whole list
+//! again if the coordinators do not have the base of a delta. Pure code; the caller sends the reports and
+//! passes in the responses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::messages::{Listed, NumberedReport, ReportedServers};
 
-/// The cache servers that a node lists as ready, by id. Shared: many nodes of one process may hold the same list.
+/// The cache servers that a node lists as ready, by id. Shared, because many nodes of one process may have
+/// the same list.
 pub type ReadyList = Arc<BTreeMap<String, Listed>>;
 
-/// A list of ready cache servers, by id.
+/// Creates a list of ready cache servers, by id.
 pub fn ready_list(listed: impl IntoIterator<Item = Listed>) -> ReadyList {
     Arc::new(listed.into_iter().map(|line| (line.id.clone(), line)).collect())
 }
 
-/// What a report tells.
+/// The contents of a report.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct View {
     ready: bool,
@@ -23,21 +25,21 @@
     servers: Option<List>,
 }
 
-/// A list, and the how manieth of the node it is.
+/// A list of ready cache servers and its version on this node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct List {
     version: u64,
     servers: ReadyList,
 }
 
-/// A report that was made, and what it tells.
+/// A report that was created, and its contents.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Made {
     report: NumberedReport,
     view: View,
 }
 
-/// Makes the reports of one session of a node, one at a time.
+/// Creates the reports of one session of a node, one at a time.
 ///
 /// ```
 /// use mothpier_coordination::fleet::messages::{Listed, ReportedServers};
@@ -57,26 +59,27 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Reporter {
     servers: Option<List>,
-    /// The number of the last report that was made.
+    /// The number of the last report that was created.
     number: u64,
-    /// The last report that the coordinators took: its number, and what it told. `None` where the next one is whole.
+    /// The number and contents of the last accepted report. `None` if the next report must contain the whole
+    /// list.
     accepted: Option<(u64, View)>,
-    /// The report that is under way.
+    /// The report that awaits its response.
     pending: Option<Made>,
-    /// What the coordinators refused last: it is not told again before it changes.
+    /// The contents that the coordinators rejected last. They are not sent again until they change.
     rejected: Option<View>,
 }
 
 impl Reporter {
-    /// The node has a new list, and lists these as ready from now on. It is reported even where the same ones are ready: the
-    /// node says anew that it lists no others.
+    /// Sets a new list of ready cache servers. It is reported even if it equals the previous one, because it
+    /// also states that no other cache servers are listed.
     pub fn set_servers(&mut self, servers: ReadyList) {
         let version = self.servers.as_ref().map_or(1, |list| list.version + 1);
         self.servers = Some(List { version, servers });
     }
 
-    /// The report that is to be sent now: the one under way until it is answered, then the next; `None` where nothing has
-    /// changed.
+    /// Returns the report to send now: the one in flight until it is answered, then the next one. Returns
+    /// `None` if nothing has changed.
     pub fn next(&mut self, ready: bool, refused_percent: u8) -> Option<NumberedReport> {
         if let Some(pending) = &self.pending {
             return Some(pending.report.clone());
@@ -108,7 +111,7 @@
         self.pending.take_if(|made| made.report.number == number)
     }
 
-    /// The coordinators took the report with this number.
+    /// Records that the coordinators accepted the report with this number.
     pub fn accepted(&mut self, number: u64) {
         if let Some(made) = self.answered(number) {
             self.accepted = Some((number, made.view));
@@ -116,7 +119,8 @@
         }
     }
 
-    /// The coordinators do not have the base of the report with this number; the last that they took is `last`.
+    /// Records that the coordinators do not have the base of this report; `last` is the last report that
+    /// they accepted.
     pub fn base_unknown(&mut self, number: u64, last: u64) {
         if self.answered(number).is_some() {
             self.accepted = None;
@@ -124,7 +128,7 @@
         }
     }
 
-    /// The coordinators refuse the report with this number for what it tells.
+    /// Records that the coordinators rejected the contents of the report with this number.
     pub fn rejected(&mut self, number: u64) {
         if let Some(made) = self.answered(number) {
             self.rejected = Some(made.view);
--- a/crates/mothpier-coordination/src/fleet/reports.rs
+++ b/crates/mothpier-coordination/src/fleet/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of nodes: whole lists, and deltas that build on the last report that was taken.
+//! Reports of nodes: whole lists, and deltas based on the last accepted report.
 
 use std::collections::BTreeSet;
 
@@ -8,31 +8,32 @@
 use super::{Answered, Condition, Fleet, Node, SERVERS, Server, bad};
 use crate::limits::NAME;
 
-/// How a numbered report stands to those that were taken.
+/// How a numbered report relates to the last accepted one.
 enum Sequence {
-    /// It is to be taken.
+    /// The report is to be applied.
     Next,
-    /// It was taken already.
+    /// The report was already applied.
     Repeated,
-    /// It is older than the last one, or builds on another one.
+    /// The report is older than the last one, or is based on a different one.
     UnknownBase,
 }
 
 impl Fleet {
-    /// A report without a number: of a node before format 3, always with its whole list where that has changed.
+    /// Applies a report without a number, as sent by nodes before format 3, with the whole list if that has
+    /// changed.
     pub(super) fn report(&mut self, session: &str, report: &Report) -> Answered {
         let name = self.node_of(session)?;
         if let Some(listed) = &report.servers {
             self.check_listed(listed)?;
             self.take_whole_list(&name, listed);
-            // A delta can't build on this one.
+            // The next report cannot be a delta based on this one.
             self.set_report(&name, 0);
         }
         self.set_readiness(&name, report.ready, report.refused_percent.min(100));
         Ok(FleetResponse::Done)
     }
 
-    /// A report with a number.
+    /// Applies a numbered report.
     pub(super) fn numbered_report(&mut self, session: &str, report: &NumberedReport) -> Answered {
         let name = self.node_of(session)?;
         let Some(node) = self.nodes.get(&name) else { return Err(FleetRefusal::NoNode) };
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Whether these lines can be taken.
+    /// Checks whether the listed cache servers can be registered.
     fn check_listed(&self, listed: &[Listed]) -> Result<(), FleetRefusal> {
         let new = listed.iter().filter(|line| !self.servers.contains_key(&line.id)).count();
         if self.servers.len() + new > SERVERS {
@@ -116,7 +117,8 @@
         self.has_told_all_known(name);
     }
 
-    /// Makes of the node's last list the one that it has now. What became known since then was not in the last one.
+    /// Applies a delta to the node's last list. Cache servers that were registered since then were not in
+    /// that list.
     fn take_delta(&mut self, name: &str, listed: &[Listed], unlisted: &[String]) {
         self.take_lines(listed);
         let since = self.nodes.get(name).map_or(0, |node| node.registered);
@@ -135,7 +137,7 @@
         self.has_told_all_known(name);
     }
 
-    /// The node's list says of every cache server that is known whether it lists it.
+    /// Records that the node's list covers all registered cache servers.
     fn has_told_all_known(&mut self, name: &str) {
         let registered = self.registered;
         if let Some(node) = self.nodes.get_mut(name) {
@@ -143,9 +145,9 @@
         }
     }
 
-    /// Cache servers that are new, or have started anew, by lines of a node's list.
+    /// Registers new cache servers and records restarts found in a node's list.
     fn take_lines(&mut self, listed: &[Listed]) {
-        // A fleet that begins is warm; whoever comes later is not.
+        // The first cache servers of a new fleet count as warm, later ones as cold.
         let founded = !self.servers.is_empty();
         for line in listed {
             self.take_line(line, founded);
@@ -173,7 +175,7 @@
         }
     }
 
-    /// A cache server becomes known.
+    /// Registers a new cache server.
     fn register(&mut self, line: &Listed, cold: Option<u64>) {
         self.registered += 1;
         let server = Server {
--- a/crates/mothpier-coordination/src/fleet/rule.rs
+++ b/crates/mothpier-coordination/src/fleet/rule.rs
@@ -1,4 +1,4 @@
-//! Who counts as out, and whether one more may go.
+//! The drain rules: what counts as out, and whether the limits allow another drain.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use super::{Condition, Drain, Fleet, NAMED, Node};
 
 impl Fleet {
-    /// Whether a drain keeps its subject out.
+    /// Whether the subject of a drain counts as out.
     fn counts_as_out(&self, drain: &Drain) -> bool {
         match drain.stage {
             Stage::Asked => false,
@@ -17,7 +17,8 @@
         }
     }
 
-    /// Where something stands, by an index that has the sessions, the lists and the drains.
+    /// Returns the status of a node or cache server, from an index with up-to-date sessions, listings and
+    /// drains.
     pub(super) fn place(&self, subject: &Subject, index: &Index) -> Option<Place> {
         let dead_count = self.holds(Condition::DeadCount);
         let (zone, missing, cold) = match subject.kind {
@@ -41,7 +42,7 @@
         })
     }
 
-    /// Why something that is out is so.
+    /// Returns why a subject that is out is out.
     fn out_because(&self, subject: &Subject) -> String {
         let drain = self.drain_of(subject).filter(|(_, drain)| self.counts_as_out(drain));
         if let Some((number, drain)) = drain {
@@ -56,13 +57,13 @@
         because.into()
     }
 
-    /// All of a kind that do not serve, and why.
+    /// Returns all nodes or all cache servers that are out, and why.
     pub fn out(&self, kind: Kind) -> BTreeMap<&str, String> {
         let out = self.index().of(kind).out().iter();
         out.map(|id| (id.as_str(), self.out_because(&Subject { kind, id: id.clone() }))).collect()
     }
 
-    /// How many may be out, and how many have to be in service.
+    /// Returns the limits for nodes or for cache servers.
     pub(super) fn bound(&self, kind: Kind) -> &Bound {
         match kind {
             Kind::Node => &self.limits.nodes,
@@ -84,23 +85,24 @@
         }
     }
 
-    /// Whether all places of a kind are taken.
+    /// Whether as many are out as the limits allow.
     pub(super) fn is_full(&self, kind: Kind) -> bool {
         self.index().of(kind).out().len() >= self.bound(kind).out_most as usize
     }
 
-    /// Whether something is out, whether anybody asked for it or not.
+    /// Whether a subject is out, with or without a drain.
     pub(super) fn is_out(&self, subject: &Subject) -> bool {
         self.index().of(subject.kind).out().contains(&subject.id)
     }
 
-    /// What keeps one more from going out, as things stand.
+    /// Returns the limit that does not allow another drain now, if any.
     pub fn why_not(&self, subject: &Subject) -> Option<Blocked> {
         let bound = self.bound(subject.kind);
         let places = self.index().of(subject.kind);
         let zone = self.zone(subject);
         let none = BTreeSet::new();
-        // Itself counts as one more, whether it serves or not: a drain of a dead one keeps it out when it comes back.
+        // The subject itself counts as one more, whether it serves or not, because the drain of a missing
+        // one keeps it out when it comes back.
         let others = |out: &BTreeSet<String>| out.len() - usize::from(out.contains(&subject.id));
         let (all, of_zone) = (places.out(), places.out_of_zone(zone).unwrap_or(&none));
         let (out, zone_out) = (others(all), others(of_zone));
@@ -124,7 +126,7 @@
         None
     }
 
-    /// A limit that is used up, by the first few of those that are out beside the subject.
+    /// Describes a limit that is used up and the first few others that count against it.
     fn blocked(&self, subject: &Subject, limit: &str, most: u32, out: &BTreeSet<String>) -> Blocked {
         let kind = subject.kind;
         let prefix = match kind {
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Nodes that a drain waits for before it is out.
+    /// Returns the nodes whose confirmation a drain still needs.
     pub fn waits_for(&self, drain: &Drain) -> Vec<String> {
         if drain.subject.kind == Kind::Node {
             let own = drain.subject.id.clone();
@@ -153,7 +155,7 @@
         awaited.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Whether a drain waits for nobody before it is out.
+    /// Whether no confirmation is missing for a drain to be out.
     pub(super) fn has_left(&self, number: u64, drain: &Drain) -> bool {
         if drain.subject.kind == Kind::Node {
             return drain.confirmed.contains(&drain.subject.id);
@@ -162,7 +164,8 @@
         awaited.living == 0 && (awaited.missing == 0 || !self.holds(Condition::AllConfirm))
     }
 
-    /// Whether one that returns has done so: a node serves; of a cache server all nodes that live know it.
+    /// Whether the subject of a returning drain is back: a node serves, or all live nodes know that a cache
+    /// server may be used.
     pub(super) fn has_returned(&self, number: u64, drain: &Drain) -> bool {
         match drain.subject.kind {
             Kind::Node => {
--- a/crates/mothpier-coordination/src/fleet/stored.rs
+++ b/crates/mothpier-coordination/src/fleet/stored.rs
@@ -1,4 +1,4 @@
-//! A fleet as snapshots and answers hold it: without what is derived.
+//! The fleet as stored in snapshots and shown to clients, without the derived indexes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,7 +7,7 @@
 use super::limits::Limits;
 use super::{Drain, Event, Fleet, Halt, Node, Server};
 
-/// What is read of a fleet. Its fields are those that [`Fleet`] writes.
+/// The fields that are read for a fleet: those that [`Fleet`] writes.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct StoredFleet {
@@ -41,8 +41,8 @@
 }
 
 impl Fleet {
-    /// The fleet as it is shown to clients: without the numbers that formats 1 and 2 did not have, for a client of those
-    /// versions refuses what it does not know.
+    /// Returns the fleet as shown to clients. It leaves out the numbers that formats 1 and 2 did not have,
+    /// because clients of those versions reject unknown fields.
     pub fn shown(&self) -> Fleet {
         let mut shown = self.clone();
         for node in shown.nodes.values_mut() {
--- a/crates/mothpier-coordination/src/fleet/timers.rs
+++ b/crates/mothpier-coordination/src/fleet/timers.rs
@@ -1,48 +1,48 @@
-//! What a leader proposes after a time. It counts on its own clock from when it saw the state that wants it; a new leader
-//! counts anew: late, never early.
+//! Timers that the leader runs for the fleet. It counts on its own clock from the moment it sees the state
+//! that needs a timer. A new leader starts the timers again, so they may fire late but never early.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Something that is due after a time.
+/// A timer of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "timer", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Timer {
-    /// A drain's latest end.
+    /// The maximum duration of a drain is over.
     End {
-        /// The drain.
+        /// The number of the drain.
         drain: u64,
     },
-    /// A cache server that came back is what it was.
+    /// A cache server has warmed up after its return from a drain.
     Cold {
-        /// The drain.
+        /// The number of the drain.
         drain: u64,
-        /// The number of its stage.
+        /// The number of the drain's stage.
         turn: u64,
     },
-    /// A cache server that started by itself is.
+    /// A cache server has warmed up after a start without a drain.
     Start {
-        /// Its id.
+        /// The id of the cache server.
         server: String,
         /// The number of the start.
         start: u64,
     },
-    /// A halt by the fleet itself ends.
+    /// An automatic halt ends.
     Calm {
-        /// Its number.
+        /// The number of the halt.
         halt: u64,
     },
 }
 
-/// The timers at a leader, in ms of its own clock.
+/// The running timers of a leader, in ms of its own clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Timers {
     at: BTreeMap<Timer, u64>,
 }
 
 impl Timers {
-    /// Takes what is wanted as of now: what goes on being wanted keeps its time.
+    /// Starts the timers that are new and stops those that are no longer needed; others keep running.
     pub fn wanted(&mut self, now: u64, wanted: &BTreeMap<Timer, u64>) {
         self.at.retain(|timer, _| wanted.contains_key(timer));
         for (timer, ms) in wanted {
@@ -50,12 +50,13 @@
         }
     }
 
-    /// When the next one is due.
+    /// Returns when the next timer fires.
     pub fn next(&self) -> Option<u64> {
         self.at.values().min().copied()
     }
 
-    /// Those whose time is over. They are proposed again after a pause: a proposal may be lost.
+    /// Returns the timers that have fired. They are returned again after `pause`, because a proposal may be
+    /// lost.
     pub fn due(&mut self, now: u64, pause: u64) -> Vec<Timer> {
         let over = self.at.iter_mut().filter(|(_, at)| **at <= now);
         over.map(|(timer, at)| {
--- a/crates/mothpier-coordination/src/lib.rs
+++ b/crates/mothpier-coordination/src/lib.rs
@@ -1,17 +1,18 @@
-//! What a fleet agrees on, without I/O and without a clock of its own.
+//! The replicated state that coordinators agree on. Performs no I/O and reads no clock.
 //!
-//! | module | what it decides |
+//! | module | purpose |
 //! | --- | --- |
-//! | `replicated_state` | the replicated state machine: commands in their committed order make sessions, leases, fences and values |
-//! | `fleet` | who is out, who may go next, halts: the rule on drains, as a part of the agreed state |
-//! | `session_expiry` | at the leader: when a session has not been renewed for its whole time |
-//! | `lease_validity` | at a holder: until when it may act, by its own clock |
-//! | `fencing` | at whoever is told to act: which holder it obeys |
-//! | `wire` | what goes between clients and coordinators |
+//! | `replicated_state` | the state machine: applies committed commands to sessions, leases, fences and values |
+//! | `fleet` | fleet-wide drains, their limits and halts, as part of the replicated state |
+//! | `session_expiry` | at the leader: decides when a session has not been renewed within its TTL |
+//! | `lease_validity` | at a lease holder: decides until when it may act, by its own clock |
+//! | `fencing` | at a process that receives fenced actions: decides which holder's actions it accepts |
+//! | `wire` | messages between clients and coordinators |
 //!
-//! Three clocks take part, and none of them is compared with another: a holder measures from before it asked, a leader
-//! from the commit on, and one that obeys from when it told its own clock. Each is right to within
-//! [`lease_validity::CLOCK_ERROR`] over the time of a lease.
+//! Three clocks take part, and no two of them are compared: a holder counts from before it sends a request,
+//! the leader counts from the commit, and a process that accepts fenced actions counts from the moment it
+//! last reported its own clock. Each clock must be accurate to within [`lease_validity::CLOCK_ERROR`] over a
+//! session's TTL.
 
 pub mod command;
 pub mod fencing;
--- a/crates/mothpier-coordination/src/limits.rs
+++ b/crates/mothpier-coordination/src/limits.rs
@@ -1,9 +1,10 @@
-//! How much is agreed on at the most. What is over a bound is refused with the bound's name: the state has to fit into
-//! every coordinator's memory and into one snapshot.
+//! Limits of the replicated state, which has to fit into each coordinator's memory and into one snapshot. A
+//! command beyond a limit is refused with the name of the limit.
 
-/// Sessions that live.
+/// Open sessions.
 pub const SESSIONS: usize = 16_384;
-/// Ended sessions whose names can't be used again yet: a command of theirs may still be on its way.
+/// Names of ended sessions that cannot be reused yet, because delayed commands of those sessions may still
+/// arrive.
 pub const ENDED: usize = 4_096;
 /// Leases that are held or waited for.
 pub const LEASES: usize = 16_384;
@@ -11,21 +12,21 @@
 pub const LEASES_OF_SESSION: usize = 64;
 /// Sessions that wait for one lease.
 pub const WAITING: usize = 1_024;
-/// Values.
+/// Stored values.
 pub const VALUES: usize = 4_096;
-/// Bytes of a session's, a lease's or a value's name.
+/// Length of the name of a session, lease or value, in bytes.
 pub const NAME: usize = 128;
-/// Bytes of a value.
+/// Size of a value, in bytes.
 pub const VALUE: usize = 16 * 1024;
-/// Bytes of all values together.
+/// Total size of all values, in bytes.
 pub const ALL_VALUES: usize = 8 * 1024 * 1024;
-/// Changes that a watcher may have missed and still be told one by one.
+/// Changes kept for watchers: one that missed more has to read the whole state.
 pub const HISTORY: usize = 8_192;
-/// Shortest and longest time of a session, in ms. Under the first an election ends every lease; with the second a dead
-/// holder keeps a task from everybody for ten minutes.
+/// Shortest and longest TTL of a session, in ms. A shorter one would let every lease expire during an
+/// election; a longer one would let a dead holder block a task for more than ten minutes.
 pub const TTL_MS: (u64, u64) = (500, 600_000);
 
-/// Whether a name can be written in a path, a log line and a shell without quoting.
+/// Whether a name can be used in a path, a log line and a shell without quoting.
 pub fn is_name(name: &str) -> bool {
     (1..=NAME).contains(&name.len())
         && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:@/".contains(&b))
--- a/crates/mothpier-coordination/src/replicated_state.rs
+++ b/crates/mothpier-coordination/src/replicated_state.rs
@@ -1,5 +1,6 @@
-//! The replicated state machine. The same commands in the same order make the same state, byte for byte, at every
-//! coordinator: there is no clock, no chance and no order but that of names in it.
+//! The replicated state machine. The same commands in the same order produce the same state, byte for byte,
+//! on every coordinator: it uses no clock, no randomness, and iterates only over collections ordered by
+//! name.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,20 +13,20 @@
 use crate::fleet::timers::Timer;
 use crate::limits;
 
-/// A client that lives.
+/// An open session of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Session {
-    /// It ends when it has not been renewed for so long.
+    /// The session expires if it is not renewed for this long.
     pub ttl_ms: u64,
-    /// How often it was renewed.
+    /// Number of renewals so far.
     pub renewals: u64,
-    /// Staff want it to end: it is renewed no more.
+    /// An operator has broken one of its leases: the session is not renewed any more.
     pub broken: bool,
-    /// Its last request and what came of it, so that the same one again changes nothing.
+    /// Number of the last request and its answer, so that a repeated request has no further effect.
     number: u64,
     answer: Option<Answer>,
-    /// Leases that it holds or waits for.
+    /// Leases that the session holds or waits for.
     leases: BTreeSet<String>,
 }
 
@@ -33,32 +34,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Lease {
-    /// The session that holds it.
+    /// The session that holds the lease.
     pub holder: SessionId,
-    /// The number of its grant.
+    /// The fence of the current grant.
     pub fence: Fence,
-    /// Who is next, in order.
+    /// Sessions that wait for the lease, in the order of their requests.
     pub waiting: VecDeque<SessionId>,
 }
 
-/// A value and the number of its last change.
+/// A stored value with the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Value {
-    /// The value.
+    /// The stored value.
     pub value: String,
-    /// The number of its last change.
+    /// Revision of the last change of the value.
     pub revision: Revision,
 }
 
-/// All that is agreed on.
+/// The whole replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicatedState {
     format: u32,
-    /// The number of the last grant of any lease.
+    /// Fence of the last grant of any lease.
     fences: Fence,
-    /// The number of the last change.
+    /// Revision of the last change.
     revision: Revision,
     sessions: BTreeMap<SessionId, Session>,
     /// Names of ended sessions, the latest last.
@@ -66,22 +67,22 @@
     leases: BTreeMap<String, Lease>,
     values: BTreeMap<String, Value>,
     value_bytes: usize,
-    /// Where each coordinator is, by its number, and the highest number that was ever one's.
+    /// Addresses of the coordinators by number, and the highest number that any coordinator ever had.
     members: BTreeMap<u64, String>,
     last_member: u64,
-    /// Nodes, cache servers and who of them is out. Format 1 had none.
+    /// Nodes, cache servers and drains. Absent in format 1.
     #[serde(default)]
     fleet: Fleet,
-    /// The last changes; the first one's number is `revision - history.len() + 1`.
+    /// The last changes; the first entry has the revision `revision - history.len() + 1`.
     history: VecDeque<Change>,
 }
 
-/// Why a state can't be taken over.
+/// Why a stored state cannot be loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Unreadable {
-    /// A newer program wrote it.
+    /// The state was written by a newer version of the program.
     Format(u32),
-    /// It is damaged, or no state at all.
+    /// The state is damaged, or is not a state at all.
     Damaged(String),
 }
 
@@ -128,7 +129,7 @@
 }
 
 impl ReplicatedState {
-    /// Takes the next command of the log.
+    /// Applies the next committed command of the log.
     pub fn apply(&mut self, command: &Command) -> Answer {
         let answer = match command {
             Command::Open { session, ttl_ms } => self.open(session, *ttl_ms),
@@ -176,7 +177,8 @@
         }
     }
 
-    /// Names it and its holder's session renewals no more: nothing is taken from a holder that may still act.
+    /// Marks the session that holds the lease as broken, so that it is not renewed any more. The lease is
+    /// not taken away at once, because its holder may still act within its TTL.
     fn break_lease(&mut self, lease: &str, fence: Fence) -> Answer {
         let holder = self.leases.get(lease).filter(|l| l.fence == fence).map(|l| l.holder.clone());
         match holder.and_then(|h| self.sessions.get_mut(&h)) {
@@ -203,7 +205,7 @@
             if s.broken {
                 return refused(Refusal::BrokenByStaff);
             }
-            // Whoever asks again counts its time from the second asking: so must the leader.
+            // A client that repeats the request counts its TTL from the second one, and so must the leader.
             s.renewals += 1;
             return Answer::Opened;
         }
@@ -304,7 +306,7 @@
         Answer::Released
     }
 
-    /// A session holds and awaits a lease no more; the next in line holds it.
+    /// Removes a session as holder or waiter of a lease, and grants the lease to the next waiting session.
     fn let_go(&mut self, session: &str, name: &str) {
         let Some(lease) = self.leases.get_mut(name) else { return };
         if lease.holder != session {
@@ -377,13 +379,13 @@
         self.revision
     }
 
-    /// The state of a new fleet with these coordinators.
+    /// Returns the initial state of a new cluster with these coordinators.
     pub fn founded(members: BTreeMap<u64, String>) -> Self {
         let last_member = members.keys().next_back().copied().unwrap_or_default();
         ReplicatedState { members, last_member, ..ReplicatedState::default() }
     }
 
-    /// A coordinator is a member from now on, or no more.
+    /// Adds a coordinator or changes its address; removes it if `address` is `None`.
     pub fn member(&mut self, number: u64, address: Option<String>) {
         self.last_member = self.last_member.max(number);
         match address {
@@ -392,23 +394,24 @@
         }
     }
 
-    /// Where each coordinator is, by its number.
+    /// Addresses of the coordinators by number.
     pub fn members(&self) -> &BTreeMap<u64, String> {
         &self.members
     }
 
-    /// The highest number that was ever a coordinator's: a number is not used again, for its first owner may have voted.
+    /// The highest number that any coordinator ever had. Numbers are not reused, because the first owner of
+    /// a number may have voted under it.
     pub fn last_member(&self) -> u64 {
         self.last_member
     }
 
-    /// The number of the last change.
+    /// Revision of the last change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// What has changed since a change, in order; `None` where the history begins later or that change is still to come:
-    /// the watcher has to read the whole.
+    /// Returns the changes after a revision, in order. Returns `None` if the history no longer reaches back
+    /// that far, or if the revision is still in the future; the watcher then has to read the whole state.
     pub fn since(&self, after: Revision) -> Option<impl Iterator<Item = (Revision, &Change)>> {
         let first = self.revision - self.history.len() as u64;
         (first..=self.revision).contains(&after).then(|| {
@@ -417,47 +420,47 @@
         })
     }
 
-    /// The sessions that live.
+    /// Returns the open sessions.
     pub fn sessions(&self) -> impl Iterator<Item = (&SessionId, &Session)> {
         self.sessions.iter()
     }
 
-    /// A session that lives.
+    /// Returns an open session by name.
     pub fn session(&self, name: &str) -> Option<&Session> {
         self.sessions.get(name)
     }
 
-    /// The leases that are held.
+    /// Returns the leases that are held.
     pub fn leases(&self) -> &BTreeMap<String, Lease> {
         &self.leases
     }
 
-    /// The values.
+    /// Returns the stored values.
     pub fn values(&self) -> &BTreeMap<String, Value> {
         &self.values
     }
 
-    /// Nodes, cache servers, and who of them is out.
+    /// Returns the nodes, cache servers and drains.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// What one that obeys has to know before it obeys anybody.
+    /// Returns the fences that a [`crate::FenceGuard`] needs before it may accept any action.
     pub fn floors(&self) -> FenceFloors {
         let held = self.leases.iter().map(|(name, lease)| (name.clone(), lease.fence)).collect();
         FenceFloors { others: self.fences + 1, held }
     }
 
-    /// The state as a snapshot holds it.
+    /// Serializes the state for a snapshot.
     pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Takes a state over.
+    /// Loads a state from a snapshot.
     ///
     /// # Errors
     ///
-    /// What a newer program wrote, and what is damaged.
+    /// Fails if a newer version of the program wrote the snapshot, or if it is damaged.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, Unreadable> {
         /// The one field that every format has.
         #[derive(Deserialize)]
@@ -470,19 +473,21 @@
             return Err(Unreadable::Format(format));
         }
         let mut state: ReplicatedState = serde_json::from_slice(bytes).map_err(damaged)?;
-        // What an older program wrote is whole; from now on it may hold what that one can't read.
+        // The state of an older format is complete, but from now on it may contain what an older version
+        // cannot read.
         state.format = FORMAT;
         if state.is_whole() { Ok(state) } else { Err(Unreadable::Damaged("its parts don't fit".into())) }
     }
 
-    /// Whether its parts fit together.
+    /// Whether the parts of the state are consistent with each other and within their limits.
     fn is_whole(&self) -> bool {
         let within = self.history.len() as u64 <= self.revision
             && self.history.len() <= limits::HISTORY
             && self.sessions.len() <= limits::SESSIONS
             && self.leases.len() <= limits::LEASES
             && self.fleet.is_whole();
-        // Looked through whole only while that is cheap: the states of tests and models.
+        // The references between leases and sessions are checked only for the small states of tests and
+        // models, where that is cheap.
         within
             && (self.leases.len() > 64
                 || self.leases.iter().all(|(name, lease)| {
--- a/crates/mothpier-coordination/src/session_expiry.rs
+++ b/crates/mothpier-coordination/src/session_expiry.rs
@@ -1,22 +1,22 @@
-//! When a leader ends a session. It counts on its own clock from when it saw the renewal committed, never from when that
-//! was asked: later than the client, so that the client's time is over first. A new leader knows no times and gives every
-//! session its whole time anew.
+//! Session expiry at the leader. The leader counts a session's TTL on its own clock from the moment it sees
+//! the renewal committed, which is later than the client's send time, so the session ends for the client
+//! first. A new leader knows no renewal times and gives every session its whole TTL again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::command::{Command, SessionId};
 
-/// The sessions' times at the leader, in ms of its own clock.
+/// Expiry times of the sessions, in ms of the leader's clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct SessionExpiry {
-    /// When each ends, and how often it had been renewed.
+    /// Expiry time and number of renewals of each session.
     ends: BTreeMap<SessionId, (u64, u64)>,
-    /// The same in the order of their times.
+    /// The same sessions, ordered by expiry time.
     order: BTreeSet<(u64, SessionId)>,
 }
 
 impl SessionExpiry {
-    /// Leads from now on: all have their whole time before them.
+    /// Starts a leadership: every session gets its whole TTL from now on.
     pub fn lead<'a>(&mut self, now: u64, sessions: impl Iterator<Item = (&'a SessionId, u64, u64)>) {
         *self = SessionExpiry::default();
         for (session, ttl_ms, renewals) in sessions {
@@ -24,9 +24,10 @@
         }
     }
 
-    /// A session was opened or renewed, as committed and seen just now.
+    /// Records that a session was opened or renewed, as seen committed now.
     pub fn lives(&mut self, now: u64, session: &str, ttl_ms: u64, renewals: u64) {
-        // The same renewal seen twice gives no time twice; that of a leader before counts whole.
+        // Seeing the same renewal twice does not extend the session. `start` recorded the last renewal seen
+        // by the previous leader with a whole TTL.
         if self.ends.get(session).is_some_and(|(_, known)| *known == renewals) {
             return;
         }
@@ -35,24 +36,25 @@
         self.order.insert((now + ttl_ms, session.into()));
     }
 
-    /// A session has ended.
+    /// Removes a session that has ended.
     pub fn over(&mut self, session: &str) {
         if let Some((at, _)) = self.ends.remove(session) {
             self.order.remove(&(at, session.into()));
         }
     }
 
-    /// When the next one ends.
+    /// Returns the earliest expiry time.
     pub fn next(&self) -> Option<u64> {
         self.order.first().map(|(at, _)| *at)
     }
 
-    /// What is left of a session's time.
+    /// Returns the time until a session expires.
     pub fn left(&self, now: u64, session: &str) -> Option<u64> {
         self.ends.get(session).map(|(at, _)| at.saturating_sub(now))
     }
 
-    /// Proposes the end of those whose time is over. They are asked for again after a pause: a proposal may be lost.
+    /// Returns commands to expire the sessions whose time is over. They are returned again after `pause`,
+    /// because a proposal may be lost.
     pub fn due(&mut self, now: u64, pause: u64) -> Vec<Command> {
         let mut commands = Vec::new();
         while let Some((at, session)) = self.order.first().cloned().filter(|(at, _)| *at <= now) {
--- a/crates/mothpier-coordination/src/wire.rs
+++ b/crates/mothpier-coordination/src/wire.rs
@@ -1,4 +1,4 @@
-//! What clients and coordinators say to each other over HTTP, as JSON. Fields are only ever added.
+//! Messages between clients and coordinators: JSON over HTTP. Fields are only ever added.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,156 +6,157 @@
 use crate::fleet::messages::Told as Drain;
 use crate::{Answer, Command, FenceFloors};
 
-/// The header that names the fleet in messages between members.
+/// Header with the cluster name in messages between coordinators.
 pub const CLUSTER: &str = "x-mothpier-cluster";
 
-/// A client's call.
+/// A command sent by a client.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// The fleet's name.
+    /// The name of the cluster.
     pub cluster: String,
-    /// What is asked.
+    /// The command.
     pub command: Command,
 }
 
-/// A change of the coordinators themselves.
+/// A request to change the membership of the coordinators.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberCall {
-    /// The fleet's name.
+    /// The name of the cluster.
     pub cluster: String,
-    /// What is asked.
+    /// The requested change.
     pub change: MemberChange,
 }
 
-/// One coordinator more or less.
+/// A change of one coordinator's membership.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum MemberChange {
-    /// A new one, under a number that was never another's. It votes once it has what the others have.
+    /// Adds a coordinator under a number that was never used before. It becomes a voter once it has caught
+    /// up.
     Add {
-        /// Its number.
+        /// The number of the coordinator.
         member: u64,
-        /// Where it is reached.
+        /// The address of the coordinator.
         address: std::net::SocketAddr,
     },
-    /// One leaves for good.
+    /// Removes a coordinator for good.
     Remove {
-        /// Its number.
+        /// The number of the coordinator.
         member: u64,
     },
 }
 
-/// A lease as it is shown.
+/// A lease as shown to clients.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Shown {
-    /// Its name.
+    /// The name of the lease.
     pub lease: String,
-    /// The session that holds it.
+    /// The session that holds the lease.
     pub holder: String,
-    /// The number of its grant.
+    /// The fence of the grant.
     pub fence: u64,
-    /// The holder's time.
+    /// The TTL of the holder's session.
     pub ttl_ms: u64,
-    /// What is left of it unless it is renewed.
+    /// Time until the holder's session expires unless it is renewed.
     pub left_ms: Option<u64>,
-    /// Staff have broken it: it is renewed no more.
+    /// An operator has broken the lease: the holder's session is not renewed any more.
     pub broken: bool,
-    /// Who waits for it, the next first.
+    /// Sessions that wait for the lease, the next one first.
     pub waiting: Vec<String>,
 }
 
-/// All that is held, as a majority confirmed it.
+/// All leases that are held, read with the confirmation of a majority.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Leases {
-    /// The number of the last change.
+    /// Revision of the last change.
     pub revision: u64,
-    /// What one that obeys has to know.
+    /// Fences that a process needs before it may accept fenced actions.
     pub floors: FenceFloors,
-    /// What is held.
+    /// The leases.
     pub leases: Vec<Shown>,
 }
 
-/// The whole fleet, as a majority confirmed it.
+/// The whole fleet, read with the confirmation of a majority.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FleetShown {
-    /// The number of the last change.
+    /// Revision of the last change.
     pub revision: u64,
     /// The fleet.
     pub fleet: Fleet,
 }
 
-/// The drains, as nodes need to know them and a majority confirmed them.
+/// The drains as nodes need them, read with the confirmation of a majority.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Drains {
-    /// The number of the last change.
+    /// Revision of the last change.
     pub revision: u64,
     /// The drains.
     pub drains: Vec<Drain>,
 }
 
-/// Why a call came to nothing.
+/// Why a call failed.
 #[derive(Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Error {
-    /// Another member leads: ask there. Nothing was done.
+    /// Another coordinator is the leader and has to be called instead. Nothing was done.
     NotLeader,
-    /// It is not known whether it was done.
+    /// It is not known whether the command took effect.
     Unknown,
-    /// The call belongs to another fleet.
+    /// The call is for another cluster.
     OtherCluster,
-    /// The call can't be read.
+    /// The call cannot be parsed.
     BadCall,
-    /// Nothing is there.
+    /// The requested resource does not exist.
     NotFound,
 }
 
-/// How an error is told.
+/// The body of an error response.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Failed {
-    /// Which.
+    /// The kind of error.
     pub error: Error,
-    /// For people.
+    /// A message for people.
     pub message: String,
-    /// The member that leads, where that is known.
+    /// The number of the leader, if known.
     pub leader: Option<u64>,
 }
 
-/// What came of a command, as the door tells it.
+/// The body of the response to a command.
 #[derive(Debug, Deserialize)]
 pub struct Told {
-    /// The answer.
+    /// The result of the command.
     pub answer: Answer,
 }
 
-/// A member as it shows itself.
+/// The status of a coordinator.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// The fleet's name.
+    /// The name of the cluster.
     pub cluster: String,
-    /// Its number.
+    /// The number of this coordinator.
     pub member: u64,
-    /// The member that leads, as far as it knows.
+    /// The number of the leader, as far as this coordinator knows.
     pub leader: Option<u64>,
-    /// For how long it has known that one.
+    /// For how long that leader has been known, in ms.
     pub since_ms: u64,
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// The last line that is committed.
+    /// Index of the last committed log entry.
     pub committed: u64,
-    /// The last line that is applied here.
+    /// Index of the last log entry applied by this coordinator.
     pub applied: u64,
-    /// Sessions that live.
+    /// Number of open sessions.
     pub sessions: usize,
-    /// Leases that are held.
+    /// Number of leases that are held.
     pub leases: usize,
-    /// Those that are to vote once they have what the others have.
+    /// Coordinators that become voters once they have caught up.
     #[serde(default)]
     pub learners: Vec<u64>,
-    /// Those that vote, and by how many lines each lags; known to a leader.
+    /// The voters and by how many log entries each of them lags, which only the leader knows.
     pub members: Vec<(u64, Option<u64>)>,
-    /// Why its store can't be written, while that is so: it takes part in nothing then.
+    /// Why the store cannot be written. While this is set, the coordinator does not take part in consensus.
     #[serde(default)]
     pub store_failure: Option<String>,
 }
