--- a/crates/mothpier-coordination-client/src/lib.rs
+++ b/crates/mothpier-coordination-client/src/lib.rs
@@ -17,7 +17,7 @@
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use mothpier_coordination::wire::{
-    Call, Drains, Error, Failed, FleetShown, Leases, MemberCall, MemberChange, Status, Told,
+    Call, Drains, Error, ErrorResponse, FleetInfo, Leases, MemberCall, MemberChange, Status, Told,
 };
 use mothpier_coordination::{Answer, Change, Command, Revision};
 use mothpier_net::{Net, Stream, Task};
@@ -158,7 +158,7 @@
         while self.net.now() < until {
             let end = until.min(self.net.now() + TRY);
             match self.one_try(self.coordinators[place], &method, path, &body, end).await {
-                Try::Replied(status, bytes) => match serde_json::from_slice::<Failed>(&bytes) {
+                Try::Replied(status, bytes) => match serde_json::from_slice::<ErrorResponse>(&bytes) {
                     Ok(failed) if failed.error == Error::NotLeader => {
                         why = format!("{}: {}", self.coordinators[place], failed.message);
                         let named =
@@ -240,7 +240,7 @@
     /// # Errors
     ///
     /// Why it could not be read in time.
-    pub async fn fleet(&self, until: Instant) -> Result<FleetShown, String> {
+    pub async fn fleet(&self, until: Instant) -> Result<FleetInfo, String> {
         self.read("/v1/fleet", until).await
     }
 
--- a/crates/mothpier-coordination-client/src/session.rs
+++ b/crates/mothpier-coordination-client/src/session.rs
@@ -110,7 +110,7 @@
             let end = until.min(client.net().now() + ttl / 2);
             match client.command(&open, end).await {
                 Outcome::Done(Answer::Opened) => {
-                    session.hold.borrow_mut().confirmed(asked);
+                    session.hold.borrow_mut().confirm_renewal(asked);
                     break;
                 }
                 Outcome::Done(Answer::Refused { why }) => return Err(why.to_string()),
@@ -153,7 +153,7 @@
         let asked = self.clock();
         let until = self.client.net().now() + Duration::from_millis(self.ttl_ms / 2);
         match self.client.command(&Command::Renew { session: self.name.clone() }, until).await {
-            Outcome::Done(Answer::Renewed) => self.hold.borrow_mut().confirmed(asked),
+            Outcome::Done(Answer::Renewed) => self.hold.borrow_mut().confirm_renewal(asked),
             Outcome::Done(Answer::Refused { why: Refusal::BrokenByStaff }) => {
                 // What is left of the time may be used; no more comes.
                 *self.ended.borrow_mut() = Some(Refusal::BrokenByStaff.to_string());
@@ -182,7 +182,7 @@
     ///
     /// Why nothing is.
     pub fn left(&self) -> Result<Duration, Lost> {
-        match self.hold.borrow().left(self.clock()) {
+        match self.hold.borrow().remaining(self.clock()) {
             Some(left) => Ok(Duration::from_millis(left)),
             None => Err(self.ended.borrow().clone().map_or(Lost::OutOfTime, Lost::Ended)),
         }
--- a/crates/mothpier-coordination/examples/fleet_cost.rs
+++ b/crates/mothpier-coordination/examples/fleet_cost.rs
@@ -96,7 +96,7 @@
     fn ask(&mut self, i: usize, ask: &FleetCommand) -> Duration {
         let session = session(i);
         let began = cpu();
-        let answer = self.fleet.ask(&session, ask, &mut Vec::new());
+        let answer = self.fleet.apply(&session, ask, &mut Vec::new());
         let took = cpu() - began;
         answer.expect("it is taken");
         took
@@ -124,7 +124,7 @@
             wait: true,
             force: false,
         };
-        self.fleet.ask("staff", &drain, &mut Vec::new()).expect("it is asked for");
+        self.fleet.apply("staff", &drain, &mut Vec::new()).expect("it is asked for");
     }
 
     fn stage(&self, subject: &Subject) -> Option<Stage> {
--- a/crates/mothpier-coordination/src/command.rs
+++ b/crates/mothpier-coordination/src/command.rs
@@ -216,20 +216,22 @@
 impl std::fmt::Display for Refusal {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Refusal::NoSession => write!(f, "there is no such session: it has ended, or never was"),
+            Refusal::NoSession => write!(f, "no such session: it has ended or was never opened"),
             Refusal::SessionOver => write!(f, "a session of this name has ended"),
-            Refusal::OtherTtl { ttl_ms } => write!(f, "the session is open with a time of {ttl_ms} ms"),
-            Refusal::BrokenByStaff => write!(f, "staff have broken a lease of this session"),
-            Refusal::WrongNumber { last } => write!(f, "the session's last request had the number {last}"),
-            Refusal::Held { by } => write!(f, "{by} holds it"),
-            Refusal::NotHeld => write!(f, "it is not held under that fence"),
+            Refusal::OtherTtl { ttl_ms } => write!(f, "the session is open with a TTL of {ttl_ms} ms"),
+            Refusal::BrokenByStaff => write!(f, "an operator has broken a lease of this session"),
+            Refusal::WrongNumber { last } => {
+                write!(f, "unexpected request number: the session's last request had number {last}")
+            }
+            Refusal::Held { by } => write!(f, "the lease is held by {by}"),
+            Refusal::NotHeld => write!(f, "the lease is not held under that fence"),
             Refusal::Changed { at: 0 } => write!(f, "there is no such value"),
             Refusal::Changed { at } => write!(f, "the value has changed, at revision {at}"),
-            Refusal::Renewed => write!(f, "the session was renewed meanwhile"),
-            Refusal::OverLimit { limit, most } => write!(f, "over the limit of {most}: {limit}"),
-            Refusal::BadName => write!(f, "a name takes letters, digits and -_.:@/ and at most 128 of them"),
+            Refusal::Renewed => write!(f, "the session was renewed in the meantime"),
+            Refusal::OverLimit { limit, most } => write!(f, "limit of {most} exceeded: {limit}"),
+            Refusal::BadName => write!(f, "invalid name: 1 to 128 letters, digits and -_.:@/ are allowed"),
             Refusal::BadTtl { least_ms, most_ms } => {
-                write!(f, "a session's time lies between {least_ms} and {most_ms} ms")
+                write!(f, "invalid TTL: must be between {least_ms} and {most_ms} ms")
             }
             Refusal::Fleet { fleet } => write!(f, "{fleet}"),
         }
--- a/crates/mothpier-coordination/src/fencing.rs
+++ b/crates/mothpier-coordination/src/fencing.rs
@@ -10,7 +10,7 @@
 use crate::limits;
 
 /// Maximum number of accepted actions that are remembered until their deadline.
-const MOST_DONE: usize = 65_536;
+const MAX_ACCEPTED_ACTIONS: usize = 65_536;
 
 /// An action that a lease holder requests.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
 }
 
 impl FenceFloors {
-    fn of(&self, lease: &str) -> Fence {
+    fn lowest_accepted_for(&self, lease: &str) -> Fence {
         self.held.get(lease).copied().unwrap_or(self.others)
     }
 }
@@ -51,34 +51,38 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FenceError {
     /// The process has not received the fences yet.
-    KnowsNothing,
+    FencesUnknown,
     /// A later grant of the lease has been seen.
-    OldFence {
+    StaleFence {
         /// The lowest fence that is accepted.
-        least: Fence,
+        lowest_accepted: Fence,
     },
     /// The deadline of the action has passed.
-    TooLate,
+    DeadlinePassed,
     /// The deadline refers to another clock, for example that of the previous process.
     OtherClock,
     /// The action was accepted before.
-    Done,
+    AlreadyAccepted,
     /// Too many accepted actions are within their deadlines to remember another one.
-    TooMany,
+    TooManyActions,
     /// The lease name is not valid.
-    BadName,
+    InvalidLeaseName,
 }
 
 impl std::fmt::Display for FenceError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            FenceError::KnowsNothing => write!(f, "the fences are not known yet: nobody is obeyed"),
-            FenceError::OldFence { least } => write!(f, "an old fence: {least} or higher is obeyed"),
-            FenceError::TooLate => write!(f, "the time in which this could begin is over"),
-            FenceError::OtherClock => write!(f, "the time is of another clock: ask for this one first"),
-            FenceError::Done => write!(f, "this order has been done"),
-            FenceError::TooMany => write!(f, "more orders are within their time than are remembered"),
-            FenceError::BadName => write!(f, "no lease can have this name"),
+            FenceError::FencesUnknown => write!(f, "the fences are not known yet: no action is accepted"),
+            FenceError::StaleFence { lowest_accepted } => {
+                write!(f, "stale fence: {lowest_accepted} or higher is required")
+            }
+            FenceError::DeadlinePassed => write!(f, "the deadline of the action has passed"),
+            FenceError::OtherClock => {
+                write!(f, "the deadline refers to another clock: read the clock of this process first")
+            }
+            FenceError::AlreadyAccepted => write!(f, "the action was already accepted"),
+            FenceError::TooManyActions => write!(f, "too many actions are within their deadlines"),
+            FenceError::InvalidLeaseName => write!(f, "invalid lease name"),
         }
     }
 }
@@ -90,13 +94,13 @@
     clock: String,
     floors: Option<FenceFloors>,
     /// Accepted actions that could arrive again: deadline, fence and number.
-    done: BTreeSet<(u64, Fence, u64)>,
+    accepted: BTreeSet<(u64, Fence, u64)>,
 }
 
 impl FenceGuard {
     /// Creates a guard that knows no fences yet.
     pub fn new(clock: String) -> Self {
-        FenceGuard { clock, floors: None, done: BTreeSet::new() }
+        FenceGuard { clock, floors: None, accepted: BTreeSet::new() }
     }
 
     /// Returns the name of the clock.
@@ -105,18 +109,22 @@
     }
 
     /// Whether the fences are known, so that actions can be accepted.
-    pub fn knows(&self) -> bool {
+    pub fn knows_fences(&self) -> bool {
         self.floors.is_some()
     }
 
     /// Merges fences from a quorum or from the previous process. Fences already seen are never lowered.
-    pub fn learn(&mut self, told: FenceFloors) {
-        let Some(known) = &self.floors else { return self.floors = Some(told) };
+    pub fn learn(&mut self, update: FenceFloors) {
+        let Some(known) = &self.floors else { return self.floors = Some(update) };
         // A lease named on one side only has the other side's `others` as its lower bound.
-        let names = told.held.keys().chain(known.held.keys());
-        let held = names.map(|lease| (lease.clone(), told.of(lease).max(known.of(lease)))).collect();
-        self.floors = Some(FenceFloors { others: told.others.max(known.others), held });
-        self.forget();
+        let lease_names = update.held.keys().chain(known.held.keys());
+        let held = lease_names
+            .map(|lease| {
+                (lease.clone(), update.lowest_accepted_for(lease).max(known.lowest_accepted_for(lease)))
+            })
+            .collect();
+        self.floors = Some(FenceFloors { others: update.others.max(known.others), held });
+        self.evict_lowest();
     }
 
     /// Returns the fences to hand over to the next process on the same machine.
@@ -129,11 +137,11 @@
     /// # Errors
     ///
     /// Fails if the deadline has passed or refers to another clock.
-    pub fn in_time(&self, act: &FencedAction, now: u64) -> Result<(), FenceError> {
-        if act.clock != self.clock {
+    pub fn check_deadline(&self, action: &FencedAction, now: u64) -> Result<(), FenceError> {
+        if action.clock != self.clock {
             return Err(FenceError::OtherClock);
         }
-        if now >= act.not_after_ms { Err(FenceError::TooLate) } else { Ok(()) }
+        if now >= action.not_after_ms { Err(FenceError::DeadlinePassed) } else { Ok(()) }
     }
 
     /// Checks the fence of an action, and raises the known fence of its lease.
@@ -141,17 +149,17 @@
     /// # Errors
     ///
     /// Fails if the fences are not known, the lease name is not valid or a later grant has been seen.
-    pub fn fenced(&mut self, act: &FencedAction) -> Result<(), FenceError> {
-        if !limits::is_name(&act.lease) {
-            return Err(FenceError::BadName);
+    pub fn check_fence(&mut self, action: &FencedAction) -> Result<(), FenceError> {
+        if !limits::is_name(&action.lease) {
+            return Err(FenceError::InvalidLeaseName);
         }
-        let floors = self.floors.as_mut().ok_or(FenceError::KnowsNothing)?;
-        let least = floors.of(&act.lease);
-        if act.fence < least {
-            return Err(FenceError::OldFence { least });
+        let floors = self.floors.as_mut().ok_or(FenceError::FencesUnknown)?;
+        let lowest_accepted = floors.lowest_accepted_for(&action.lease);
+        if action.fence < lowest_accepted {
+            return Err(FenceError::StaleFence { lowest_accepted });
         }
-        floors.held.insert(act.lease.clone(), act.fence);
-        self.forget();
+        floors.held.insert(action.lease.clone(), action.fence);
+        self.evict_lowest();
         Ok(())
     }
 
@@ -160,11 +168,11 @@
     /// # Errors
     ///
     /// Returns why the action is rejected.
-    pub fn obey(&mut self, act: &FencedAction, now: u64) -> Result<(), FenceError> {
-        self.in_time(act, now)?;
+    pub fn accept(&mut self, action: &FencedAction, now: u64) -> Result<(), FenceError> {
+        self.check_deadline(action, now)?;
         // A rejected action is not recorded, so it may be sent again once the fences are known.
-        self.fenced(act)?;
-        self.once(act, now)
+        self.check_fence(action)?;
+        self.record_once(action, now)
     }
 
     /// Records an action as executed.
@@ -172,24 +180,24 @@
     /// # Errors
     ///
     /// Fails if the action was recorded before, or if too many actions are recorded.
-    pub fn once(&mut self, act: &FencedAction, now: u64) -> Result<(), FenceError> {
+    pub fn record_once(&mut self, action: &FencedAction, now: u64) -> Result<(), FenceError> {
         // Actions whose deadline has passed are rejected anyway and need not be remembered.
-        self.done = self.done.split_off(&(now + 1, 0, 0));
-        if self.done.len() >= MOST_DONE {
-            return Err(FenceError::TooMany);
+        self.accepted = self.accepted.split_off(&(now + 1, 0, 0));
+        if self.accepted.len() >= MAX_ACCEPTED_ACTIONS {
+            return Err(FenceError::TooManyActions);
         }
-        if self.done.insert((act.not_after_ms, act.fence, act.number)) {
+        if self.accepted.insert((action.not_after_ms, action.fence, action.number)) {
             Ok(())
         } else {
-            Err(FenceError::Done)
+            Err(FenceError::AlreadyAccepted)
         }
     }
 
     /// Bounds the number of known leases. Removes those with the lowest fences and raises `others`
     /// accordingly, which may reject too much but never too little.
-    fn forget(&mut self) {
+    fn evict_lowest(&mut self) {
         let Some(floors) = &mut self.floors else { return };
-        while floors.held.len() > limits::LEASES {
+        while floors.held.len() > limits::MAX_LEASES {
             let lowest = floors.held.iter().min_by_key(|(_, fence)| **fence).map(|(l, f)| (l.clone(), *f));
             let Some((lease, fence)) = lowest else { return };
             floors.held.remove(&lease);
--- a/crates/mothpier-coordination/src/fleet/drains.rs
+++ b/crates/mothpier-coordination/src/fleet/drains.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::messages::{AuditNote, FleetChange, FleetRefusal, FleetResponse, Stage, Subject, Then, Told};
-use super::{Answered, Condition, DRAINS, Drain, Fleet, LONGEST_MS, bad};
+use super::{Condition, Drain, Fleet, FleetResult, MAX_DRAINS, MAX_DURATION_MS, invalid};
 
 impl Fleet {
     /// Returns the drain of a node or cache server.
@@ -13,28 +13,28 @@
     }
 
     /// Starts or restarts the drain of a node or cache server.
-    pub(super) fn drain(
+    pub(super) fn start_drain(
         &mut self,
         subject: &Subject,
         note: &AuditNote,
-        wanted: Wanted,
+        options: DrainOptions,
         changes: &mut Vec<FleetChange>,
-    ) -> Answered {
-        if !self.knows(subject) {
+    ) -> FleetResult {
+        if !self.contains(subject) {
             return Err(FleetRefusal::Unknown { subject: subject.clone() });
         }
-        if let Some(halt) = self.halt.as_ref().filter(|_| !wanted.force) {
+        if let Some(halt) = self.halt.as_ref().filter(|_| !options.force) {
             return Err(FleetRefusal::Halted { note: halt.note.clone() });
         }
-        if wanted.for_ms.is_some_and(|ms| ms > LONGEST_MS) {
-            return Err(bad("a drain's latest end is at most thirty days away"));
+        if options.for_ms.is_some_and(|ms| ms > MAX_DURATION_MS) {
+            return Err(invalid("a drain's latest end is at most thirty days away"));
         }
-        let fresh = Drain {
+        let new_drain = Drain {
             subject: subject.clone(),
             note: note.clone(),
-            for_ms: wanted.for_ms,
-            then: wanted.then,
-            force: wanted.force,
+            for_ms: options.for_ms,
+            then: options.then,
+            force: options.force,
             stage: Stage::Asked,
             turn: 0,
             back: None,
@@ -42,42 +42,42 @@
             touched: false,
             confirmed: BTreeSet::new(),
         };
-        let how = if wanted.force { "asked, past the limits" } else { "asked" };
+        let event = if options.force { "asked, past the limits" } else { "asked" };
         if let Some((number, drain)) = self.drain_of(subject) {
-            let (stage, turn, asked_back) = (drain.stage, drain.turn, drain.back.is_some());
-            let again = matches!(stage, Stage::Returning | Stage::Cold) || asked_back;
-            if !(again || wanted.force && stage == Stage::Asked) {
+            let (stage, turn, return_requested) = (drain.stage, drain.turn, drain.back.is_some());
+            let returning = matches!(stage, Stage::Returning | Stage::Cold) || return_requested;
+            if !(returning || options.force && stage == Stage::Asked) {
                 return Err(FleetRefusal::Already { number, stage });
             }
-            self.happened(Some(subject.clone()), how, Some(note.clone()));
+            self.log_event(Some(subject.clone()), event, Some(note.clone()));
             // The subject already counts as out, so this exceeds no limit.
-            self.put_drain(number, Drain { stage, turn, touched: true, ..fresh });
+            self.put_drain(number, Drain { stage, turn, touched: true, ..new_drain });
             if stage != Stage::Asked && stage != Stage::Out {
-                self.to(number, Stage::Leaving, changes);
+                self.enter_stage(number, Stage::Leaving, changes);
             }
             return Ok(FleetResponse::Drain { number, stage });
         }
-        if self.drains.len() >= DRAINS {
-            return Err(bad("more drains than are kept are under way"));
+        if self.drains.len() >= MAX_DRAINS {
+            return Err(invalid("more drains than are kept are under way"));
         }
-        if let Some(blocked) = self.why_not(subject).filter(|_| !wanted.wait && !wanted.force) {
+        if let Some(blocked) = self.blocking_limit(subject).filter(|_| !options.wait && !options.force) {
             return Err(FleetRefusal::Limit { blocked });
         }
-        self.happened(Some(subject.clone()), how, Some(note.clone()));
-        let number = self.number();
-        self.put_drain(number, fresh);
+        self.log_event(Some(subject.clone()), event, Some(note.clone()));
+        let number = self.next_number();
+        self.put_drain(number, new_drain);
         Ok(FleetResponse::Drain { number, stage: Stage::Asked })
     }
 
     /// Ends a drain: cancels a waiting one, and otherwise returns the subject to service.
-    pub(super) fn back(
+    pub(super) fn return_to_service(
         &mut self,
         subject: &Subject,
         note: &AuditNote,
         changes: &mut Vec<FleetChange>,
-    ) -> Answered {
+    ) -> FleetResult {
         let Some((number, drain)) = self.drain_of(subject) else {
-            let known = self.knows(subject);
+            let known = self.contains(subject);
             return Err(if known {
                 FleetRefusal::NotOut
             } else {
@@ -87,12 +87,12 @@
         let stage = drain.stage;
         match stage {
             Stage::Asked => {
-                self.happened(Some(subject.clone()), "taken back", Some(note.clone()));
-                self.ended(number, changes);
+                self.log_event(Some(subject.clone()), "taken back", Some(note.clone()));
+                self.remove_drain(number, changes);
             }
             Stage::Leaving | Stage::Out => {
-                self.happened(Some(subject.clone()), "back asked", Some(note.clone()));
-                self.wants_back(number);
+                self.log_event(Some(subject.clone()), "back asked", Some(note.clone()));
+                self.request_return(number);
             }
             Stage::Returning | Stage::Cold => {}
         }
@@ -100,22 +100,22 @@
     }
 
     /// Queues a drain for its return to service.
-    pub(super) fn wants_back(&mut self, number: u64) {
-        let place = self.number();
+    pub(super) fn request_return(&mut self, number: u64) {
+        let position = self.next_number();
         if let Some(drain) = self.drains.get_mut(&number) {
-            drain.back.get_or_insert(place);
+            drain.back.get_or_insert(position);
         }
     }
 
     /// Records that a node has done what the current stage of a drain requires.
-    pub(super) fn confirm(&mut self, session: &str, number: u64, turn: u64) -> Answered {
+    pub(super) fn confirm(&mut self, session: &str, number: u64, turn: u64) -> FleetResult {
         let name = self.node_of(session)?;
-        let this_turn = self.holds(Condition::OfThisTurn);
-        let drain = self.drains.get_mut(&number).filter(|drain| drain.turn == turn || !this_turn);
+        let must_match_stage = self.enforces(Condition::ConfirmationMatchesStage);
+        let drain = self.drains.get_mut(&number).filter(|drain| drain.turn == turn || !must_match_stage);
         if let Some(drain) = drain {
             drain.touched |= drain.stage == Stage::Leaving;
             if drain.confirmed.insert(name) {
-                self.confirmed_in_index(number, true);
+                self.index_confirmation(number, true);
             }
         }
         Ok(FleetResponse::Done)
@@ -123,20 +123,20 @@
 
     /// Inserts or replaces a drain and updates the indexes.
     fn put_drain(&mut self, number: u64, drain: Drain) {
-        if let Some(before) = self.drains.insert(number, drain) {
-            self.drain_out_of_index(number, &before);
+        if let Some(previous) = self.drains.insert(number, drain) {
+            self.unindex_drain(number, &previous);
         }
-        self.drain_into_index(number);
+        self.index_drain(number);
     }
 
     /// Moves a drain to a stage.
-    pub(super) fn to(&mut self, number: u64, stage: Stage, changes: &mut Vec<FleetChange>) {
-        let turn = self.number();
+    pub(super) fn enter_stage(&mut self, number: u64, stage: Stage, changes: &mut Vec<FleetChange>) {
+        let turn = self.next_number();
         let Some(mut drain) = self.drains.get(&number).cloned() else { return };
         (drain.stage, drain.turn) = (stage, turn);
         drain.confirmed.clear();
         let subject = drain.subject.clone();
-        let what = match stage {
+        let event = match stage {
             Stage::Leaving if drain.force => "granted past the limits",
             Stage::Leaving => "granted",
             other => other.name(),
@@ -144,19 +144,19 @@
         self.put_drain(number, drain);
         let told = Told { drain: number, subject: subject.clone(), stage, turn };
         changes.push(FleetChange::Drain { told });
-        self.happened(Some(subject), what, None);
+        self.log_event(Some(subject), event, None);
     }
 
     /// Removes a drain that has ended.
-    pub(super) fn ended(&mut self, number: u64, changes: &mut Vec<FleetChange>) {
+    pub(super) fn remove_drain(&mut self, number: u64, changes: &mut Vec<FleetChange>) {
         if let Some(drain) = self.drains.remove(&number) {
-            self.drain_out_of_index(number, &drain);
+            self.unindex_drain(number, &drain);
             changes.push(FleetChange::Ended { drain: number });
         }
     }
 
     /// Returns the drains as nodes need them, without those that are only waiting.
-    pub fn told(&self) -> Vec<Told> {
+    pub fn granted_drains(&self) -> Vec<Told> {
         let told = |(number, d): (&u64, &Drain)| Told {
             drain: *number,
             subject: d.subject.clone(),
@@ -169,7 +169,7 @@
 
 /// Options of a requested drain.
 #[derive(Clone, Copy)]
-pub(super) struct Wanted {
+pub(super) struct DrainOptions {
     /// Maximum duration, in ms from the grant.
     pub(super) for_ms: Option<u64>,
     /// What happens when the maximum duration is over.
--- a/crates/mothpier-coordination/src/fleet/follow.rs
+++ b/crates/mothpier-coordination/src/fleet/follower.rs
@@ -36,14 +36,14 @@
     }
 
     /// Replaces the drains by those that were read with the confirmation of a majority.
-    pub fn read(&mut self, all: Vec<Told>) {
-        let drains: BTreeMap<u64, Told> = all.into_iter().map(|t| (t.drain, t)).collect();
+    pub fn replace_all(&mut self, all: Vec<Told>) {
+        let drains: BTreeMap<u64, Told> = all.into_iter().map(|drain| (drain.drain, drain)).collect();
         self.confirmed.retain(|drain, _| drains.contains_key(drain));
         self.drains = Some(drains);
     }
 
     /// Applies a change of the fleet.
-    pub fn change(&mut self, change: &FleetChange) {
+    pub fn apply_change(&mut self, change: &FleetChange) {
         let Some(drains) = &mut self.drains else { return };
         match change {
             FleetChange::Drain { told } => {
@@ -61,7 +61,7 @@
 
     /// Forgets all confirmations after joining under a new session, because those of the previous process no
     /// longer count.
-    pub fn joined(&mut self) {
+    pub fn reset_confirmations(&mut self) {
         self.confirmed.clear();
     }
 
@@ -70,38 +70,46 @@
     }
 
     /// Returns the cache servers to which the node must send nothing.
-    pub fn out(&self) -> BTreeSet<String> {
+    pub fn drained_servers(&self) -> BTreeSet<String> {
         let drains = self.drains.iter().flat_map(|d| d.values());
         drains
-            .filter(|t| t.subject.kind == Kind::Server && Self::keeps_out(t))
-            .map(|t| t.subject.id.clone())
+            .filter(|drain| drain.subject.kind == Kind::Server && Self::keeps_out(drain))
+            .map(|drain| drain.subject.id.clone())
             .collect()
     }
 
     /// Whether this node must accept no requests.
-    pub fn empties(&self) -> bool {
+    pub fn must_drain(&self) -> bool {
         let own = Subject::node(&self.node);
-        self.drains.iter().flat_map(|d| d.values()).any(|t| t.subject == own && Self::keeps_out(t))
+        self.drains
+            .iter()
+            .flat_map(|d| d.values())
+            .any(|drain| drain.subject == own && Self::keeps_out(drain))
     }
 
     /// Returns what may be confirmed with `effect` in place: drain numbers and stage numbers.
-    pub fn confirms(&self, effect: &Effect) -> Vec<(u64, u64)> {
-        let done = |t: &&Told| {
-            let (asks, has) = match (t.subject.kind, t.stage) {
+    pub fn confirmable(&self, effect: &Effect) -> Vec<(u64, u64)> {
+        let is_confirmable = |drain: &&Told| {
+            let (must_exclude, excludes) = match (drain.subject.kind, drain.stage) {
                 (_, Stage::Asked | Stage::Cold) => return false,
                 (Kind::Server, Stage::Out) => return false,
-                (Kind::Server, stage) => (stage == Stage::Leaving, effect.out.contains(&t.subject.id)),
-                (Kind::Node, _) if t.subject.id != self.node => return false,
+                (Kind::Server, stage) => (stage == Stage::Leaving, effect.out.contains(&drain.subject.id)),
+                (Kind::Node, _) if drain.subject.id != self.node => return false,
                 (Kind::Node, Stage::Out) => return false,
                 (Kind::Node, stage) => (stage == Stage::Leaving, effect.empty),
             };
-            asks == has && self.confirmed.get(&t.drain).is_none_or(|turn| *turn < t.turn)
+            must_exclude == excludes && self.confirmed.get(&drain.drain).is_none_or(|turn| *turn < drain.turn)
         };
-        self.drains.iter().flat_map(|d| d.values()).filter(done).map(|t| (t.drain, t.turn)).collect()
+        self.drains
+            .iter()
+            .flat_map(|d| d.values())
+            .filter(is_confirmable)
+            .map(|drain| (drain.drain, drain.turn))
+            .collect()
     }
 
     /// Records that the coordinators have accepted a confirmation.
-    pub fn confirmed(&mut self, drain: u64, turn: u64) {
+    pub fn record_confirmation(&mut self, drain: u64, turn: u64) {
         self.confirmed.insert(drain, turn);
     }
 }
--- a/crates/mothpier-coordination/src/fleet/index.rs
+++ b/crates/mothpier-coordination/src/fleet/index.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Listings {
     /// Number of live nodes that have reported a list.
-    telling: usize,
+    reporting_nodes: usize,
     /// Number of these nodes that do not list a cache server, where there is at least one.
     unlisted: BTreeMap<String, usize>,
     /// The same cache servers, grouped by that number.
@@ -43,18 +43,18 @@
 impl Listings {
     /// The number of nodes not listing a cache server from which on it is missing: half of those that
     /// reported a list.
-    fn threshold(telling: usize) -> usize {
-        telling.div_ceil(2).max(1)
+    fn threshold(reporting_nodes: usize) -> usize {
+        reporting_nodes.div_ceil(2).max(1)
     }
 
     /// Whether at least half of the live nodes with a list do not list the cache server.
     pub(super) fn is_missing(&self, id: &str) -> bool {
-        self.unlisted.get(id).is_some_and(|count| *count >= Self::threshold(self.telling))
+        self.unlisted.get(id).is_some_and(|count| *count >= Self::threshold(self.reporting_nodes))
     }
 
     /// Whether at least one live node lists the cache server.
     pub(super) fn is_listed(&self, id: &str) -> bool {
-        self.telling > self.unlisted.get(id).copied().unwrap_or(0)
+        self.reporting_nodes > self.unlisted.get(id).copied().unwrap_or(0)
     }
 
     fn set_count(&mut self, id: &str, count: usize) {
@@ -74,21 +74,21 @@
     }
 
     /// Counts one more or one fewer node that does not list the cache server.
-    pub(super) fn count(&mut self, id: &str, more: bool) {
+    pub(super) fn adjust(&mut self, id: &str, more: bool) {
         let count = self.unlisted.get(id).copied().unwrap_or(0);
         self.set_count(id, if more { count + 1 } else { count.saturating_sub(1) });
     }
 
     /// Removes a forgotten cache server.
-    fn forget(&mut self, id: &str) {
+    fn remove(&mut self, id: &str) {
         self.set_count(id, 0);
     }
 
     /// Changes the number of nodes with a list, and returns the cache servers that became missing or ceased
     /// to be missing.
-    fn set_telling(&mut self, telling: usize) -> Vec<String> {
-        let (before, now) = (Self::threshold(self.telling), Self::threshold(telling));
-        self.telling = telling;
+    fn set_reporting_nodes(&mut self, reporting_nodes: usize) -> Vec<String> {
+        let (before, now) = (Self::threshold(self.reporting_nodes), Self::threshold(reporting_nodes));
+        self.reporting_nodes = reporting_nodes;
         let between = self.by_count.range(before.min(now)..before.max(now));
         between.flat_map(|(_, ids)| ids).cloned().collect()
     }
@@ -96,47 +96,47 @@
 
 /// The status of a node or a cache server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Place {
+pub(super) struct MemberStatus {
     /// The zone.
     pub(super) zone: String,
     /// Whether it counts as out.
     pub(super) out: bool,
     /// Whether it is missing or not ready without a granted drain.
-    pub(super) unasked: bool,
+    pub(super) unplanned: bool,
 }
 
 /// The status of all nodes, or of all cache servers, with totals by zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Places {
-    places: BTreeMap<String, Place>,
+pub(super) struct StatusIndex {
+    statuses: BTreeMap<String, MemberStatus>,
     totals: BTreeMap<String, usize>,
     out: BTreeSet<String>,
     out_by_zone: BTreeMap<String, BTreeSet<String>>,
-    unasked: BTreeSet<String>,
+    unplanned: BTreeSet<String>,
 }
 
-impl Places {
+impl StatusIndex {
     /// Sets the status of one of them; `None` removes it from the fleet.
-    fn put(&mut self, id: &str, place: Option<Place>) {
-        if self.places.get(id) == place.as_ref() {
+    fn set(&mut self, id: &str, status: Option<MemberStatus>) {
+        if self.statuses.get(id) == status.as_ref() {
             return;
         }
-        if let Some(before) = self.places.remove(id) {
-            self.take_away(id, &before);
+        if let Some(before) = self.statuses.remove(id) {
+            self.subtract(id, &before);
         }
-        let Some(place) = place else { return };
-        *self.totals.entry(place.zone.clone()).or_default() += 1;
-        if place.out {
+        let Some(status) = status else { return };
+        *self.totals.entry(status.zone.clone()).or_default() += 1;
+        if status.out {
             self.out.insert(id.into());
-            self.out_by_zone.entry(place.zone.clone()).or_default().insert(id.into());
+            self.out_by_zone.entry(status.zone.clone()).or_default().insert(id.into());
         }
-        if place.unasked {
-            self.unasked.insert(id.into());
+        if status.unplanned {
+            self.unplanned.insert(id.into());
         }
-        self.places.insert(id.into(), place);
+        self.statuses.insert(id.into(), status);
     }
 
-    fn take_away(&mut self, id: &str, before: &Place) {
+    fn subtract(&mut self, id: &str, before: &MemberStatus) {
         if let Some(total) = self.totals.get_mut(&before.zone) {
             *total -= 1;
             if *total == 0 {
@@ -144,7 +144,7 @@
             }
         }
         self.out.remove(id);
-        self.unasked.remove(id);
+        self.unplanned.remove(id);
         if let Some(out) = self.out_by_zone.get_mut(&before.zone) {
             out.remove(id);
             if out.is_empty() {
@@ -169,35 +169,35 @@
     }
 
     /// Those that are missing or not ready without a granted drain.
-    pub(super) fn unasked(&self) -> &BTreeSet<String> {
-        &self.unasked
+    pub(super) fn unplanned(&self) -> &BTreeSet<String> {
+        &self.unplanned
     }
 }
 
 /// Number of nodes that have not confirmed the current stage of a cache server's drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Awaited {
+pub(super) struct PendingConfirmations {
     /// Nodes with a session.
-    pub(super) living: usize,
+    pub(super) live: usize,
     /// Nodes without a session.
     pub(super) missing: usize,
 }
 
-impl Awaited {
-    fn of(&mut self, living: bool) -> &mut usize {
-        if living { &mut self.living } else { &mut self.missing }
+impl PendingConfirmations {
+    fn count_mut(&mut self, live: bool) -> &mut usize {
+        if live { &mut self.live } else { &mut self.missing }
     }
 }
 
 /// Number of live and ready nodes, and the sum of their refusal percentages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Serving {
+pub(super) struct ServingStats {
     nodes: u64,
     refused_percent: u64,
 }
 
-impl Serving {
-    fn count(&mut self, node: &Node, more: bool) {
+impl ServingStats {
+    fn adjust(&mut self, node: &Node, more: bool) {
         if node.session.is_none() || !node.ready {
             return;
         }
@@ -227,13 +227,13 @@
     /// Which cache servers are missing from nodes' lists.
     pub(super) listings: Listings,
     /// Status of the nodes.
-    pub(super) nodes: Places,
+    pub(super) nodes: StatusIndex,
     /// Status of the cache servers.
-    pub(super) servers: Places,
+    pub(super) servers: StatusIndex,
     /// The nodes that serve.
-    pub(super) serving: Serving,
+    pub(super) serving: ServingStats,
     /// Confirmations still awaited by cache server drains, by drain number.
-    pub(super) awaited: BTreeMap<u64, Awaited>,
+    pub(super) awaited: BTreeMap<u64, PendingConfirmations>,
     /// Number of cache servers that return or warm up at the end of a drain.
     pub(super) warming: usize,
     /// Cache servers that warm up after a restart without a drain.
@@ -244,14 +244,14 @@
 
 impl Index {
     /// Returns the status index of nodes or of cache servers.
-    pub(super) fn of(&self, kind: Kind) -> &Places {
+    pub(super) fn of(&self, kind: Kind) -> &StatusIndex {
         match kind {
             Kind::Node => &self.nodes,
             Kind::Server => &self.servers,
         }
     }
 
-    fn of_mut(&mut self, kind: Kind) -> &mut Places {
+    fn of_mut(&mut self, kind: Kind) -> &mut StatusIndex {
         match kind {
             Kind::Node => &mut self.nodes,
             Kind::Server => &mut self.servers,
@@ -265,7 +265,7 @@
             if let Some(session) = &node.session {
                 index.sessions.insert(session.clone(), name.clone());
             }
-            index.serving.count(node, true);
+            index.serving.adjust(node, true);
         }
         for (id, server) in &fleet.servers {
             if server.cold.is_some() {
@@ -283,21 +283,21 @@
             }
         }
         for name in fleet.nodes.keys() {
-            let place = fleet.place(&Subject::node(name), &index);
-            index.nodes.put(name, place);
+            let status = fleet.status(&Subject::node(name), &index);
+            index.nodes.set(name, status);
         }
         for id in fleet.servers.keys() {
-            let place = fleet.place(&Subject::server(id), &index);
-            index.servers.put(id, place);
+            let status = fleet.status(&Subject::server(id), &index);
+            index.servers.set(id, status);
         }
         index
     }
 }
 
 fn recompute_listings(fleet: &Fleet) -> Listings {
-    let telling: Vec<&Node> = fleet.nodes.values().filter(|node| node.is_telling()).collect();
-    let mut listings = Listings { telling: telling.len(), ..Listings::default() };
-    for id in telling.iter().flat_map(|node| &node.unlisted) {
+    let reporting_nodes: Vec<&Node> = fleet.nodes.values().filter(|node| node.has_reported_list()).collect();
+    let mut listings = Listings { reporting_nodes: reporting_nodes.len(), ..Listings::default() };
+    for id in reporting_nodes.iter().flat_map(|node| &node.unlisted) {
         *listings.unlisted.entry(id.clone()).or_default() += 1;
     }
     for (id, count) in &listings.unlisted {
@@ -306,10 +306,10 @@
     listings
 }
 
-fn recompute_awaited(fleet: &Fleet, drain: &Drain) -> Awaited {
-    let mut awaited = Awaited::default();
+fn recompute_awaited(fleet: &Fleet, drain: &Drain) -> PendingConfirmations {
+    let mut awaited = PendingConfirmations::default();
     for (_, node) in fleet.nodes.iter().filter(|(name, _)| !drain.confirmed.contains(*name)) {
-        *awaited.of(node.session.is_some()) += 1;
+        *awaited.count_mut(node.session.is_some()) += 1;
     }
     awaited
 }
@@ -340,24 +340,24 @@
     }
 
     /// Recomputes the status of a node or a cache server.
-    pub(super) fn update_place(&mut self, subject: &Subject) {
-        let place = self.place(subject, self.index());
-        self.index_mut().of_mut(subject.kind).put(&subject.id, place);
+    pub(super) fn update_status(&mut self, subject: &Subject) {
+        let status = self.status(subject, self.index());
+        self.index_mut().of_mut(subject.kind).set(&subject.id, status);
     }
 
     fn update_servers(&mut self, ids: impl IntoIterator<Item = String>) {
         for id in ids {
-            self.update_place(&Subject::server(&id));
+            self.update_status(&Subject::server(&id));
         }
     }
 
-    /// Adds a node to the indexes that is new, or was removed by [`Fleet::node_out_of_index`].
-    pub(super) fn node_into_index(&mut self, name: &str) {
+    /// Adds a node to the indexes that is new, or was removed by [`Fleet::unindex_node`].
+    pub(super) fn index_node(&mut self, name: &str) {
         self.count_node(name, true);
     }
 
     /// Removes a node from the indexes, before its session changes or it leaves the fleet.
-    pub(super) fn node_out_of_index(&mut self, name: &str) {
+    pub(super) fn unindex_node(&mut self, name: &str) {
         self.count_node(name, false);
     }
 
@@ -371,16 +371,16 @@
                 index.sessions.remove(session);
             }
         }
-        index.serving.count(node, more);
+        index.serving.adjust(node, more);
         for (number, awaited) in &mut index.awaited {
             let confirmed = self.drains.get(number).is_some_and(|drain| drain.confirmed.contains(name));
             if !confirmed {
-                let count = awaited.of(node.session.is_some());
+                let count = awaited.count_mut(node.session.is_some());
                 *count = if more { *count + 1 } else { *count - 1 };
             }
         }
-        let counted = more || self.holds(Condition::EndUncounts);
-        if node.is_telling() && counted {
+        let counted = more || self.enforces(Condition::EndedSessionUncounted);
+        if node.has_reported_list() && counted {
             self.count_list(name, more);
         }
     }
@@ -389,22 +389,22 @@
     pub(super) fn count_list(&mut self, name: &str, more: bool) {
         let Some(node) = self.nodes.get(name) else { return };
         let listings = &mut self.index.0.listings;
-        let mut moved: Vec<String> = node.unlisted.iter().cloned().collect();
+        let mut affected: Vec<String> = node.unlisted.iter().cloned().collect();
         for id in &node.unlisted {
-            listings.count(id, more);
+            listings.adjust(id, more);
         }
-        let telling = if more { listings.telling + 1 } else { listings.telling - 1 };
-        moved.extend(listings.set_telling(telling));
-        self.update_servers(moved);
+        let reporting_nodes = if more { listings.reporting_nodes + 1 } else { listings.reporting_nodes - 1 };
+        affected.extend(listings.set_reporting_nodes(reporting_nodes));
+        self.update_servers(affected);
     }
 
     /// Records whether a node lists a cache server.
     pub(super) fn set_listed(&mut self, name: &str, id: &str, listed: bool) {
         let Some(node) = self.nodes.get_mut(name) else { return };
         let changed = if listed { node.unlisted.remove(id) } else { node.unlisted.insert(id.into()) };
-        if changed && node.is_telling() {
-            self.index.0.listings.count(id, !listed);
-            self.update_place(&Subject::server(id));
+        if changed && node.has_reported_list() {
+            self.index.0.listings.adjust(id, !listed);
+            self.update_status(&Subject::server(id));
         }
     }
 
@@ -412,10 +412,10 @@
     pub(super) fn set_readiness(&mut self, name: &str, ready: bool, refused_percent: u8) {
         let Some(node) = self.nodes.get_mut(name) else { return };
         let serving = &mut self.index.0.serving;
-        serving.count(node, false);
+        serving.adjust(node, false);
         (node.ready, node.refused_percent) = (ready, refused_percent);
-        serving.count(node, true);
-        self.update_place(&Subject::node(name));
+        serving.adjust(node, true);
+        self.update_status(&Subject::node(name));
     }
 
     /// Sets or clears the start after which a cache server warms up.
@@ -428,11 +428,11 @@
         } else {
             index.cold.remove(id);
         }
-        self.update_place(&Subject::server(id));
+        self.update_status(&Subject::server(id));
     }
 
     /// Adds a newly registered cache server to the indexes.
-    pub(super) fn server_into_index(&mut self, id: &str) {
+    pub(super) fn index_server(&mut self, id: &str) {
         let Some(server) = self.servers.get(id) else { return };
         let (registered, cold) = (server.registered, server.cold);
         self.index_mut().registered.insert(registered, id.into());
@@ -440,57 +440,57 @@
     }
 
     /// Removes a forgotten cache server from the indexes. No node's list may contain it any more.
-    pub(super) fn server_out_of_index(&mut self, id: &str, registered: u64) {
+    pub(super) fn unindex_server(&mut self, id: &str, registered: u64) {
         let index = self.index_mut();
         index.registered.remove(&registered);
         index.cold.remove(id);
-        index.listings.forget(id);
-        self.update_place(&Subject::server(id));
+        index.listings.remove(id);
+        self.update_status(&Subject::server(id));
     }
 
     /// Clears the registration numbers of the cache servers.
-    pub(super) fn forget_registrations(&mut self) {
+    pub(super) fn clear_registrations(&mut self) {
         self.index_mut().registered.clear();
     }
 
     /// Adds a drain to the indexes, with none or all of its confirmations.
-    pub(super) fn drain_into_index(&mut self, number: u64) {
+    pub(super) fn index_drain(&mut self, number: u64) {
         let Some(drain) = self.drains.get(&number) else { return };
         let subject = drain.subject.clone();
         let warming = usize::from(is_warming(drain));
-        let awaited = (subject.kind == Kind::Server).then(|| self.awaited(drain));
+        let awaited = (subject.kind == Kind::Server).then(|| self.pending_confirmations(drain));
         let index = self.index_mut();
         index.drains.insert(subject.clone(), number);
         index.warming += warming;
         if let Some(awaited) = awaited {
             index.awaited.insert(number, awaited);
         }
-        self.update_place(&subject);
+        self.update_status(&subject);
     }
 
     /// Removes a drain from the indexes, before its stage changes or after it has ended.
-    pub(super) fn drain_out_of_index(&mut self, number: u64, drain: &Drain) {
+    pub(super) fn unindex_drain(&mut self, number: u64, drain: &Drain) {
         let index = self.index_mut();
         index.drains.remove(&drain.subject);
         index.warming -= usize::from(is_warming(drain));
         index.awaited.remove(&number);
-        self.update_place(&drain.subject);
+        self.update_status(&drain.subject);
     }
 
     /// Counts the nodes that have not confirmed a drain's stage; without confirmations these are all nodes.
-    fn awaited(&self, drain: &Drain) -> Awaited {
-        let living = self.index().sessions.len();
-        let mut awaited = Awaited { living, missing: self.nodes.len() - living };
+    fn pending_confirmations(&self, drain: &Drain) -> PendingConfirmations {
+        let live = self.index().sessions.len();
+        let mut awaited = PendingConfirmations { live, missing: self.nodes.len() - live };
         for node in drain.confirmed.iter().filter_map(|name| self.nodes.get(name)) {
-            *awaited.of(node.session.is_some()) -= 1;
+            *awaited.count_mut(node.session.is_some()) -= 1;
         }
         awaited
     }
 
     /// Counts the first confirmation of a drain's stage by a node.
-    pub(super) fn confirmed_in_index(&mut self, number: u64, living: bool) {
+    pub(super) fn index_confirmation(&mut self, number: u64, live: bool) {
         if let Some(awaited) = self.index_mut().awaited.get_mut(&number) {
-            *awaited.of(living) -= 1;
+            *awaited.count_mut(live) -= 1;
         }
     }
 }
--- a/crates/mothpier-coordination/src/fleet/limits.rs
+++ b/crates/mothpier-coordination/src/fleet/limits.rs
@@ -43,7 +43,7 @@
 }
 
 /// The longest time that a limit may specify: one day.
-const LONGEST_MS: u64 = 24 * 3600 * 1000;
+const MAX_DURATION_MS: u64 = 24 * 3600 * 1000;
 
 impl Default for Limits {
     /// One at a time with a minute of warm-up: careful defaults until operators set limits that suit their
@@ -69,11 +69,11 @@
 
 impl Limits {
     /// Returns a description of the first invalid value, if any.
-    pub fn wrong(&self) -> Option<String> {
+    pub fn first_problem(&self) -> Option<String> {
         let percent = |name: &str, value: Option<u32>| {
             value.filter(|v| *v > 100).map(|v| format!("{name}: {v} is over 100 percent"))
         };
-        let time = |name: &str, ms: u64| (ms > LONGEST_MS).then(|| format!("{name}: more than a day"));
+        let time = |name: &str, ms: u64| (ms > MAX_DURATION_MS).then(|| format!("{name}: more than a day"));
         percent("nodes.out_percent", self.nodes.out_percent)
             .or_else(|| percent("servers.out_percent", self.servers.out_percent))
             .or_else(|| percent("halt.refused_percent", self.refused_percent))
--- a/crates/mothpier-coordination/src/fleet/membership.rs
+++ b/crates/mothpier-coordination/src/fleet/membership.rs
@@ -3,24 +3,24 @@
 use std::collections::BTreeSet;
 
 use super::messages::{AuditNote, FleetChange, FleetRefusal, FleetResponse, Kind, Subject};
-use super::{Answered, Fleet, NODES, Node, bad};
+use super::{Fleet, FleetResult, MAX_NODES, Node, invalid};
 use crate::limits::is_name;
 
 impl Fleet {
     /// Registers the process of a session as a node, replacing any earlier process of that name.
-    pub(super) fn join(&mut self, session: &str, name: &str, zone: &str) -> Answered {
+    pub(super) fn join(&mut self, session: &str, name: &str, zone: &str) -> FleetResult {
         if !is_name(name) || !(zone.is_empty() || is_name(zone)) {
-            return Err(bad("a node's name and zone take letters, digits and -_.:@/"));
+            return Err(invalid("a node's name and zone take letters, digits and -_.:@/"));
         }
         if let Ok(own) = self.node_of(session) {
             return if own == name {
                 Ok(FleetResponse::Done)
             } else {
-                Err(bad("this session is another node's"))
+                Err(invalid("this session is another node's"))
             };
         }
-        if !self.nodes.contains_key(name) && self.nodes.len() >= NODES {
-            return Err(bad("the fleet has as many nodes as it may have"));
+        if !self.nodes.contains_key(name) && self.nodes.len() >= MAX_NODES {
+            return Err(invalid("the fleet has as many nodes as it may have"));
         }
         let node = Node {
             zone: zone.into(),
@@ -32,14 +32,14 @@
             report: 0,
             registered: 0,
         };
-        self.node_out_of_index(name);
+        self.unindex_node(name);
         self.nodes.insert(name.into(), node);
         // The new process may not have put into effect what the previous one confirmed.
         for drain in self.drains.values_mut() {
             drain.confirmed.remove(name);
         }
-        self.node_into_index(name);
-        self.update_place(&Subject::node(name));
+        self.index_node(name);
+        self.update_status(&Subject::node(name));
         Ok(FleetResponse::Done)
     }
 
@@ -49,20 +49,20 @@
     }
 
     /// Records that a session has ended.
-    pub fn session_over(&mut self, session: &str, changes: &mut Vec<FleetChange>) {
+    pub fn session_ended(&mut self, session: &str, changes: &mut Vec<FleetChange>) {
         let Ok(name) = self.node_of(session) else { return };
-        self.node_out_of_index(&name);
+        self.unindex_node(&name);
         if let Some(node) = self.nodes.get_mut(&name) {
             (node.session, node.ready) = (None, false);
         }
-        self.node_into_index(&name);
-        self.update_place(&Subject::node(&name));
-        self.go_on(changes);
+        self.index_node(&name);
+        self.update_status(&Subject::node(&name));
+        self.apply_consequences(changes);
         self.check_index();
     }
 
     /// Whether the node or cache server belongs to the fleet.
-    pub(super) fn knows(&self, subject: &Subject) -> bool {
+    pub(super) fn contains(&self, subject: &Subject) -> bool {
         match subject.kind {
             Kind::Node => self.nodes.contains_key(&subject.id),
             Kind::Server => self.servers.contains_key(&subject.id),
@@ -75,8 +75,8 @@
         subject: &Subject,
         note: &AuditNote,
         changes: &mut Vec<FleetChange>,
-    ) -> Answered {
-        if !self.knows(subject) {
+    ) -> FleetResult {
+        if !self.contains(subject) {
             return Err(FleetRefusal::Unknown { subject: subject.clone() });
         }
         let lives = match subject.kind {
@@ -90,17 +90,17 @@
             Kind::Node => self.forget_node(&subject.id),
             Kind::Server => self.forget_server(&subject.id),
         }
-        self.happened(Some(subject.clone()), "forgotten", Some(note.clone()));
+        self.log_event(Some(subject.clone()), "forgotten", Some(note.clone()));
         if let Some((number, _)) = self.drain_of(subject) {
-            self.ended(number, changes);
+            self.remove_drain(number, changes);
         }
         Ok(FleetResponse::Done)
     }
 
     fn forget_node(&mut self, name: &str) {
-        self.node_out_of_index(name);
+        self.unindex_node(name);
         self.nodes.remove(name);
-        self.update_place(&Subject::node(name));
+        self.update_status(&Subject::node(name));
     }
 
     fn forget_server(&mut self, id: &str) {
@@ -108,6 +108,6 @@
         for node in self.nodes.values_mut() {
             node.unlisted.remove(id);
         }
-        self.server_out_of_index(id, server.registered);
+        self.unindex_server(id, server.registered);
     }
 }
--- a/crates/mothpier-coordination/src/fleet/messages.rs
+++ b/crates/mothpier-coordination/src/fleet/messages.rs
@@ -347,7 +347,7 @@
         if self.by.is_empty() {
             return Ok(());
         }
-        write!(f, ", and not in service are {}", self.by.join(", "))?;
+        write!(f, "; not in service: {}", self.by.join(", "))?;
         let more = self.count.saturating_sub(self.by.len() as u64);
         if more > 0 { write!(f, " and {more} more") } else { Ok(()) }
     }
@@ -356,16 +356,22 @@
 impl fmt::Display for FleetRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FleetRefusal::NoNode => write!(f, "this session is no node's, or another process has its name"),
-            FleetRefusal::Unknown { subject } => write!(f, "the fleet knows no {subject}"),
-            FleetRefusal::Already { number, stage } => write!(f, "drain {number} has it: {}", stage.name()),
-            FleetRefusal::NotOut => write!(f, "it is not out"),
+            FleetRefusal::NoNode => {
+                write!(f, "the session belongs to no node, or another process has taken the node's name")
+            }
+            FleetRefusal::Unknown { subject } => write!(f, "the fleet has no {subject}"),
+            FleetRefusal::Already { number, stage } => {
+                write!(f, "already drained by drain {number}: {}", stage.name())
+            }
+            FleetRefusal::NotOut => write!(f, "there is no drain of it"),
             FleetRefusal::Limit { blocked } => write!(f, "{blocked}"),
             FleetRefusal::Halted { note } => write!(f, "halted by {}: {}", note.by, note.reason),
-            FleetRefusal::NotHalted => write!(f, "it has not halted"),
-            FleetRefusal::Lives => write!(f, "it lives, or nodes list it: only what is gone is forgotten"),
+            FleetRefusal::NotHalted => write!(f, "the fleet is not halted"),
+            FleetRefusal::Lives => {
+                write!(f, "it is still alive or listed by nodes: only what is gone can be forgotten")
+            }
             FleetRefusal::UnknownBase { last } => {
-                write!(f, "the last report of this node is number {last}: its whole list is wanted")
+                write!(f, "the last accepted report of this node has number {last}: the whole list is needed")
             }
             FleetRefusal::Bad { what } => write!(f, "{what}"),
         }
--- a/crates/mothpier-coordination/src/fleet/mod.rs
+++ b/crates/mothpier-coordination/src/fleet/mod.rs
@@ -15,11 +15,11 @@
 //! | `due`, `timers` | timers, and when the leader proposes that they have fired |
 //! | `index` | incremental indexes for the drain rules |
 //! | `stored` | the fleet as stored in snapshots and shown to clients |
-//! | `follow`, `reporter` | a node's part: the drains it puts into effect and confirms, and its reports |
+//! | `follower`, `reporter` | a node's part: the drains it puts into effect and confirms, and its reports |
 
 mod drains;
 mod due;
-pub mod follow;
+pub mod follower;
 mod halts;
 mod index;
 pub mod limits;
@@ -36,57 +36,57 @@
 
 use serde::{Deserialize, Serialize};
 
-use self::drains::Wanted;
+use self::drains::DrainOptions;
 use self::index::{Derived, Index};
 use self::limits::Limits;
 use self::messages::{
     AuditNote, FleetChange, FleetCommand, FleetRefusal, FleetResponse, Stage, Subject, Then,
 };
 use crate::command::SessionId;
-use crate::limits::NAME;
+use crate::limits::MAX_NAME_BYTES;
 
 /// Maximum number of nodes: the planned 6,300 and 30 percent for nodes that were replaced and not yet
 /// forgotten, which covers a day and a half if each of 1,200 restarts a day used a new name. There may be
 /// twice as many sessions, because a process that takes over a node's name may run beside the previous one.
-pub const NODES: usize = 8_192;
+pub const MAX_NODES: usize = 8_192;
 /// Maximum number of cache servers: the planned 1,500 and a third more.
-pub const SERVERS: usize = 2_048;
+pub const MAX_SERVERS: usize = 2_048;
 /// Maximum number of drains that have not ended.
-pub const DRAINS: usize = 1_024;
+pub const MAX_DRAINS: usize = 1_024;
 /// Maximum length of a reason, in bytes.
-pub const REASON: usize = 500;
+pub const MAX_REASON_BYTES: usize = 500;
 /// Number of events that are kept.
-pub const EVENTS: usize = 1_000;
+pub const MAX_EVENTS: usize = 1_000;
 /// Longest maximum duration of a drain, in ms from its grant: 30 days.
-pub const LONGEST_MS: u64 = 30 * 24 * 3600 * 1000;
+pub const MAX_DURATION_MS: u64 = 30 * 24 * 3600 * 1000;
 /// Maximum number of subjects that a refusal names.
-const NAMED: usize = 5;
+const MAX_NAMED_SUBJECTS: usize = 5;
 /// Debug builds compare the indexes with ones derived from scratch after each command, up to this number of
 /// nodes times cache servers.
-const CHECKED: usize = 256;
+const MAX_CHECKED_PAIRS: usize = 256;
 
 /// A condition of the drain rules. Models leave one out to check that its absence is detected; nothing else
 /// does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Condition {
     /// Missing and unready subjects count as out.
-    DeadCount,
+    MissingCountAsOut,
     /// Missing nodes have to confirm as well.
-    AllConfirm,
+    MissingNodesConfirm,
     /// A confirmation counts only for the stage it was made for.
-    OfThisTurn,
+    ConfirmationMatchesStage,
     /// Cache servers that warm up count as out.
-    ColdCounts,
+    ColdCountsAsOut,
     /// A halt cancels waiting drains.
-    HaltTakesBack,
+    HaltCancelsWaiting,
     /// A halt returns leaving subjects to service.
-    HaltBringsBack,
+    HaltReturnsLeaving,
     /// A delta must be based on the last accepted report.
-    BaseMatches,
+    DeltaBaseMatches,
     /// A repeated report changes nothing.
-    ReportOnce,
+    RepeatIgnored,
     /// The list of a node whose session has ended no longer counts.
-    EndUncounts,
+    EndedSessionUncounted,
 }
 
 /// A node of the fleet.
@@ -121,7 +121,7 @@
     }
 
     /// Whether the node is alive and has reported a list.
-    fn is_telling(&self) -> bool {
+    fn has_reported_list(&self) -> bool {
         self.session.is_some() && self.lists
     }
 }
@@ -230,9 +230,9 @@
     *number == 0
 }
 
-type Answered = Result<FleetResponse, FleetRefusal>;
+type FleetResult = Result<FleetResponse, FleetRefusal>;
 
-fn bad(what: &str) -> FleetRefusal {
+fn invalid(what: &str) -> FleetRefusal {
     FleetRefusal::Bad { what: what.into() }
 }
 
@@ -244,26 +244,31 @@
         self
     }
 
-    fn holds(&self, condition: Condition) -> bool {
+    fn enforces(&self, condition: Condition) -> bool {
         self.without != Some(condition)
     }
 
-    fn number(&mut self) -> u64 {
+    fn next_number(&mut self) -> u64 {
         self.numbers += 1;
         self.numbers
     }
 
-    fn happened(&mut self, subject: Option<Subject>, what: &str, note: Option<AuditNote>) {
+    fn log_event(&mut self, subject: Option<Subject>, what: &str, note: Option<AuditNote>) {
         self.events.push_back(Event { subject, what: what.into(), note });
-        if self.events.len() > EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
     /// Applies a command of a session with all its consequences.
-    pub fn ask(&mut self, session: &str, ask: &FleetCommand, changes: &mut Vec<FleetChange>) -> Answered {
-        let answer = self.take(session, ask, changes)?;
-        self.go_on(changes);
+    pub fn apply(
+        &mut self,
+        session: &str,
+        command: &FleetCommand,
+        changes: &mut Vec<FleetChange>,
+    ) -> FleetResult {
+        let answer = self.dispatch(session, command, changes)?;
+        self.apply_consequences(changes);
         self.check_index();
         Ok(match answer {
             // The consequences may have moved the drain to a later stage.
@@ -275,47 +280,52 @@
         })
     }
 
-    fn take(&mut self, session: &str, ask: &FleetCommand, changes: &mut Vec<FleetChange>) -> Answered {
-        match ask {
+    fn dispatch(
+        &mut self,
+        session: &str,
+        command: &FleetCommand,
+        changes: &mut Vec<FleetChange>,
+    ) -> FleetResult {
+        match command {
             FleetCommand::Join { node, zone } => self.join(session, node, zone),
             FleetCommand::Report { report } => self.report(session, report),
             FleetCommand::NumberedReport { report } => self.numbered_report(session, report),
             FleetCommand::Confirm { drain, turn } => self.confirm(session, *drain, *turn),
             FleetCommand::Drain { subject, note, for_ms, then, wait, force } => {
-                self.said(note)?;
-                let wanted = Wanted { for_ms: *for_ms, then: *then, wait: *wait, force: *force };
-                self.drain(subject, note, wanted, changes)
+                self.check_note(note)?;
+                let options = DrainOptions { for_ms: *for_ms, then: *then, wait: *wait, force: *force };
+                self.start_drain(subject, note, options, changes)
             }
             FleetCommand::Back { subject, note } => {
-                self.said(note)?;
-                self.back(subject, note, changes)
+                self.check_note(note)?;
+                self.return_to_service(subject, note, changes)
             }
             FleetCommand::Halt { note } => {
-                self.said(note)?;
-                self.stop(note.clone(), false, changes);
+                self.check_note(note)?;
+                self.begin_halt(note.clone(), false, changes);
                 Ok(FleetResponse::Done)
             }
             FleetCommand::Resume { note } => {
-                self.said(note)?;
+                self.check_note(note)?;
                 self.resume(note, changes)
             }
             FleetCommand::Forget { subject, note } => {
-                self.said(note)?;
+                self.check_note(note)?;
                 self.forget(subject, note, changes)
             }
             FleetCommand::Limits { limits, note } => {
-                self.said(note)?;
+                self.check_note(note)?;
                 self.set_limits(limits, note)
             }
         }
     }
 
-    fn set_limits(&mut self, limits: &Limits, note: &AuditNote) -> Answered {
-        if let Some(wrong) = limits.wrong() {
-            return Err(bad(&wrong));
+    fn set_limits(&mut self, limits: &Limits, note: &AuditNote) -> FleetResult {
+        if let Some(problem) = limits.first_problem() {
+            return Err(invalid(&problem));
         }
         self.limits = limits.clone();
-        self.happened(None, "limits stated", Some(note.clone()));
+        self.log_event(None, "limits stated", Some(note.clone()));
         Ok(FleetResponse::Done)
     }
 
@@ -323,30 +333,30 @@
     /// maintenance, because their own properties have to detect that.
     fn check_index(&self) {
         debug_assert!(
-            self.nodes.len() * self.servers.len() > CHECKED
-                || !self.holds(Condition::EndUncounts)
+            self.nodes.len() * self.servers.len() > MAX_CHECKED_PAIRS
+                || !self.enforces(Condition::EndedSessionUncounted)
                 || self.index_is_current(),
-            "the indexes differ from the plain computation"
+            "the maintained indexes differ from those derived from scratch"
         );
     }
 
     /// Checks the length limits of a note.
-    fn said(&self, note: &AuditNote) -> Result<(), FleetRefusal> {
-        if note.by.is_empty() || note.by.len() > NAME {
-            return Err(bad("who wants this has to be named, in at most 128 bytes"));
+    fn check_note(&self, note: &AuditNote) -> Result<(), FleetRefusal> {
+        if note.by.is_empty() || note.by.len() > MAX_NAME_BYTES {
+            return Err(invalid("who wants this has to be named, in at most 128 bytes"));
         }
-        if note.reason.trim().is_empty() || note.reason.len() > REASON {
-            return Err(bad("a reason has to be given, in at most 500 bytes"));
+        if note.reason.trim().is_empty() || note.reason.len() > MAX_REASON_BYTES {
+            return Err(invalid("a reason has to be given, in at most 500 bytes"));
         }
         Ok(())
     }
 
     /// Whether the fleet is consistent and within its limits.
-    pub fn is_whole(&self) -> bool {
-        self.nodes.len() <= NODES
-            && self.servers.len() <= SERVERS
-            && self.drains.len() <= DRAINS
-            && self.events.len() <= EVENTS
+    pub fn is_consistent(&self) -> bool {
+        self.nodes.len() <= MAX_NODES
+            && self.servers.len() <= MAX_SERVERS
+            && self.drains.len() <= MAX_DRAINS
+            && self.events.len() <= MAX_EVENTS
             && self.drains.values().all(|d| d.turn <= self.numbers)
     }
 }
--- a/crates/mothpier-coordination/src/fleet/reporter.rs
+++ b/crates/mothpier-coordination/src/fleet/reporter.rs
@@ -13,30 +13,30 @@
 
 /// Creates a list of ready cache servers, by id.
 pub fn ready_list(listed: impl IntoIterator<Item = Listed>) -> ReadyList {
-    Arc::new(listed.into_iter().map(|line| (line.id.clone(), line)).collect())
+    Arc::new(listed.into_iter().map(|entry| (entry.id.clone(), entry)).collect())
 }
 
 /// The contents of a report.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct View {
+struct ReportContents {
     ready: bool,
     refused_percent: u8,
     /// `None` until the node has a list.
-    servers: Option<List>,
+    servers: Option<VersionedList>,
 }
 
 /// A list of ready cache servers and its version on this node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct List {
+struct VersionedList {
     version: u64,
     servers: ReadyList,
 }
 
 /// A report that was created, and its contents.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Made {
+struct InFlightReport {
     report: NumberedReport,
-    view: View,
+    contents: ReportContents,
 }
 
 /// Creates the reports of one session of a node, one at a time.
@@ -58,16 +58,16 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Reporter {
-    servers: Option<List>,
+    servers: Option<VersionedList>,
     /// The number of the last report that was created.
     number: u64,
     /// The number and contents of the last accepted report. `None` if the next report must contain the whole
     /// list.
-    accepted: Option<(u64, View)>,
+    accepted: Option<(u64, ReportContents)>,
     /// The report that awaits its response.
-    pending: Option<Made>,
+    pending: Option<InFlightReport>,
     /// The contents that the coordinators rejected last. They are not sent again until they change.
-    rejected: Option<View>,
+    rejected: Option<ReportContents>,
 }
 
 impl Reporter {
@@ -75,7 +75,7 @@
     /// also states that no other cache servers are listed.
     pub fn set_servers(&mut self, servers: ReadyList) {
         let version = self.servers.as_ref().map_or(1, |list| list.version + 1);
-        self.servers = Some(List { version, servers });
+        self.servers = Some(VersionedList { version, servers });
     }
 
     /// Returns the report to send now: the one in flight until it is answered, then the next one. Returns
@@ -84,37 +84,41 @@
         if let Some(pending) = &self.pending {
             return Some(pending.report.clone());
         }
-        let view = View { ready, refused_percent, servers: self.servers.clone() };
-        let known = self.accepted.as_ref().map(|(_, view)| view);
-        if known == Some(&view) || self.rejected.as_ref() == Some(&view) {
+        let contents = ReportContents { ready, refused_percent, servers: self.servers.clone() };
+        let known = self.accepted.as_ref().map(|(_, contents)| contents);
+        if known == Some(&contents) || self.rejected.as_ref() == Some(&contents) {
             return None;
         }
         self.number += 1;
-        let servers = self.reported_servers(&view);
+        let servers = self.reported_servers(&contents);
         let report = NumberedReport { number: self.number, ready, refused_percent, servers };
-        self.pending = Some(Made { report: report.clone(), view });
+        self.pending = Some(InFlightReport { report: report.clone(), contents });
         Some(report)
     }
 
-    fn reported_servers(&self, view: &View) -> ReportedServers {
-        let Some(now) = &view.servers else { return ReportedServers::Unknown };
+    fn reported_servers(&self, contents: &ReportContents) -> ReportedServers {
+        let Some(current) = &contents.servers else { return ReportedServers::Unknown };
         match &self.accepted {
-            Some((base, View { servers: Some(before), .. })) if before.version == now.version => {
+            Some((base, ReportContents { servers: Some(previous), .. }))
+                if previous.version == current.version =>
+            {
                 ReportedServers::Unchanged { base: *base }
             }
-            Some((base, View { servers: Some(before), .. })) => delta(*base, &before.servers, &now.servers),
-            _ => ReportedServers::Whole { listed: now.servers.values().cloned().collect() },
+            Some((base, ReportContents { servers: Some(previous), .. })) => {
+                delta(*base, &previous.servers, &current.servers)
+            }
+            _ => ReportedServers::Whole { listed: current.servers.values().cloned().collect() },
         }
     }
 
-    fn answered(&mut self, number: u64) -> Option<Made> {
-        self.pending.take_if(|made| made.report.number == number)
+    fn take_pending(&mut self, number: u64) -> Option<InFlightReport> {
+        self.pending.take_if(|in_flight| in_flight.report.number == number)
     }
 
     /// Records that the coordinators accepted the report with this number.
     pub fn accepted(&mut self, number: u64) {
-        if let Some(made) = self.answered(number) {
-            self.accepted = Some((number, made.view));
+        if let Some(in_flight) = self.take_pending(number) {
+            self.accepted = Some((number, in_flight.contents));
             self.rejected = None;
         }
     }
@@ -122,7 +126,7 @@
     /// Records that the coordinators do not have the base of this report; `last` is the last report that
     /// they accepted.
     pub fn base_unknown(&mut self, number: u64, last: u64) {
-        if self.answered(number).is_some() {
+        if self.take_pending(number).is_some() {
             self.accepted = None;
             self.number = self.number.max(last);
         }
@@ -130,15 +134,15 @@
 
     /// Records that the coordinators rejected the contents of the report with this number.
     pub fn rejected(&mut self, number: u64) {
-        if let Some(made) = self.answered(number) {
-            self.rejected = Some(made.view);
+        if let Some(in_flight) = self.take_pending(number) {
+            self.rejected = Some(in_flight.contents);
         }
     }
 }
 
-fn delta(base: u64, before: &ReadyList, now: &ReadyList) -> ReportedServers {
-    let changed = now.values().filter(|line| before.get(&line.id) != Some(line));
-    let gone = before.keys().filter(|id| !now.contains_key(*id));
+fn delta(base: u64, previous: &ReadyList, current: &ReadyList) -> ReportedServers {
+    let changed = current.values().filter(|entry| previous.get(&entry.id) != Some(entry));
+    let gone = previous.keys().filter(|id| !current.contains_key(*id));
     ReportedServers::Delta { base, listed: changed.cloned().collect(), unlisted: gone.cloned().collect() }
 }
 
--- a/crates/mothpier-coordination/src/fleet/stored.rs
+++ b/crates/mothpier-coordination/src/fleet/stored.rs
@@ -52,7 +52,7 @@
             server.registered = 0;
         }
         shown.registered = 0;
-        shown.forget_registrations();
+        shown.clear_registrations();
         shown
     }
 }
--- a/crates/mothpier-coordination/src/fleet/timers.rs
+++ b/crates/mothpier-coordination/src/fleet/timers.rs
@@ -38,32 +38,33 @@
 /// The running timers of a leader, in ms of its own clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Timers {
-    at: BTreeMap<Timer, u64>,
+    due_at: BTreeMap<Timer, u64>,
 }
 
 impl Timers {
     /// Starts the timers that are new and stops those that are no longer needed; others keep running.
-    pub fn wanted(&mut self, now: u64, wanted: &BTreeMap<Timer, u64>) {
-        self.at.retain(|timer, _| wanted.contains_key(timer));
+    pub fn update(&mut self, now: u64, wanted: &BTreeMap<Timer, u64>) {
+        self.due_at.retain(|timer, _| wanted.contains_key(timer));
         for (timer, ms) in wanted {
-            self.at.entry(timer.clone()).or_insert(now + ms);
+            self.due_at.entry(timer.clone()).or_insert(now + ms);
         }
     }
 
     /// Returns when the next timer fires.
-    pub fn next(&self) -> Option<u64> {
-        self.at.values().min().copied()
+    pub fn next_due(&self) -> Option<u64> {
+        self.due_at.values().min().copied()
     }
 
-    /// Returns the timers that have fired. They are returned again after `pause`, because a proposal may be
+    /// Returns the timers that have fired. They are returned again after `retry_delay`, because a proposal may be
     /// lost.
-    pub fn due(&mut self, now: u64, pause: u64) -> Vec<Timer> {
-        let over = self.at.iter_mut().filter(|(_, at)| **at <= now);
-        over.map(|(timer, at)| {
-            *at = now + pause;
-            timer.clone()
-        })
-        .collect()
+    pub fn take_due(&mut self, now: u64, retry_delay: u64) -> Vec<Timer> {
+        let fired = self.due_at.iter_mut().filter(|(_, due_at)| **due_at <= now);
+        fired
+            .map(|(timer, due_at)| {
+                *due_at = now + retry_delay;
+                timer.clone()
+            })
+            .collect()
     }
 }
 
--- a/crates/mothpier-coordination/src/lib.rs
+++ b/crates/mothpier-coordination/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! Three clocks take part, and no two of them are compared: a holder counts from before it sends a request,
 //! the leader counts from the commit, and a process that accepts fenced actions counts from the moment it
-//! last reported its own clock. Each clock must be accurate to within [`lease_validity::CLOCK_ERROR`] over a
+//! last reported its own clock. Each clock must be accurate to within [`lease_validity::CLOCK_ERROR_PER_MILLE`] over a
 //! session's TTL.
 
 pub mod command;
--- a/crates/mothpier-coordination/src/replicated_state.rs
+++ b/crates/mothpier-coordination/src/replicated_state.rs
@@ -124,7 +124,7 @@
     Answer::Refused { why }
 }
 
-fn over(limit: &str, most: usize) -> Answer {
+fn over_limit(limit: &str, most: usize) -> Answer {
     refused(Refusal::OverLimit { limit: limit.into(), most: most as u64 })
 }
 
@@ -134,46 +134,46 @@
         let answer = match command {
             Command::Open { session, ttl_ms } => self.open(session, *ttl_ms),
             Command::Renew { session } => self.renew(session),
-            Command::Ask { session, number, request } => self.ask(session, *number, request),
+            Command::Ask { session, number, request } => self.handle_request(session, *number, request),
             Command::Close { session } => {
-                self.end(session);
+                self.end_session(session);
                 Answer::Closed
             }
             Command::Expire { session, renewals } => match self.sessions.get(session) {
                 None => refused(Refusal::NoSession),
                 Some(s) if s.renewals != *renewals => refused(Refusal::Renewed),
                 Some(_) => {
-                    self.end(session);
+                    self.end_session(session);
                     Answer::Closed
                 }
             },
             Command::Break { lease, fence } => self.break_lease(lease, *fence),
-            Command::Due { timer } => self.due(timer),
+            Command::Due { timer } => self.timer_fired(timer),
         };
-        debug_assert!(self.is_whole());
+        debug_assert!(self.is_consistent());
         answer
     }
 
-    fn due(&mut self, timer: &Timer) -> Answer {
+    fn timer_fired(&mut self, timer: &Timer) -> Answer {
         let mut changes = Vec::new();
-        self.fleet.due(timer, &mut changes);
-        self.fleet_changed(changes);
+        self.fleet.timer_fired(timer, &mut changes);
+        self.record_fleet_changes(changes);
         Answer::Fleet { answer: crate::fleet::messages::FleetResponse::Done }
     }
 
-    fn of_fleet(&mut self, session: &str, what: &FleetCommand) -> Answer {
+    fn fleet_command(&mut self, session: &str, what: &FleetCommand) -> Answer {
         let mut changes = Vec::new();
-        let answer = self.fleet.ask(session, what, &mut changes);
-        self.fleet_changed(changes);
+        let answer = self.fleet.apply(session, what, &mut changes);
+        self.record_fleet_changes(changes);
         match answer {
             Ok(answer) => Answer::Fleet { answer },
             Err(fleet) => refused(Refusal::Fleet { fleet }),
         }
     }
 
-    fn fleet_changed(&mut self, changes: Vec<FleetChange>) {
+    fn record_fleet_changes(&mut self, changes: Vec<FleetChange>) {
         for what in changes {
-            self.changed(Change::Fleet { what });
+            self.record_change(Change::Fleet { what });
         }
     }
 
@@ -191,7 +191,7 @@
     }
 
     fn open(&mut self, session: &str, ttl_ms: u64) -> Answer {
-        let (least_ms, most_ms) = limits::TTL_MS;
+        let (least_ms, most_ms) = (limits::MIN_TTL_MS, limits::MAX_TTL_MS);
         if !limits::is_name(session) {
             return refused(Refusal::BadName);
         }
@@ -212,12 +212,12 @@
         if self.ended.iter().any(|e| e == session) {
             return refused(Refusal::SessionOver);
         }
-        if self.sessions.len() >= limits::SESSIONS {
-            return over("sessions", limits::SESSIONS);
+        if self.sessions.len() >= limits::MAX_SESSIONS {
+            return over_limit("sessions", limits::MAX_SESSIONS);
         }
-        let fresh =
+        let new_session =
             Session { ttl_ms, renewals: 0, broken: false, number: 0, answer: None, leases: BTreeSet::new() };
-        self.sessions.insert(session.into(), fresh);
+        self.sessions.insert(session.into(), new_session);
         Answer::Opened
     }
 
@@ -232,7 +232,7 @@
         }
     }
 
-    fn ask(&mut self, session: &str, number: u64, request: &Request) -> Answer {
+    fn handle_request(&mut self, session: &str, number: u64, request: &Request) -> Answer {
         let Some(s) = self.sessions.get(session) else { return refused(Refusal::NoSession) };
         if let Some(answer) = s.answer.clone().filter(|_| s.number == number) {
             return answer;
@@ -245,7 +245,7 @@
             Request::Release { lease } => self.release(session, lease),
             Request::Put { key, value, at } => self.put(key, value, *at),
             Request::Delete { key, at } => self.delete(key, *at),
-            Request::Fleet { what } => self.of_fleet(session, what),
+            Request::Fleet { what } => self.fleet_command(session, what),
         };
         if let Some(s) = self.sessions.get_mut(session) {
             (s.number, s.answer) = (number, Some(answer.clone()));
@@ -270,17 +270,19 @@
             if !wait {
                 return refused(Refusal::Held { by: lease.holder.clone() });
             }
-            if lease.waiting.len() >= limits::WAITING {
-                return over("sessions that wait for one lease", limits::WAITING);
+            if lease.waiting.len() >= limits::MAX_WAITERS_PER_LEASE {
+                return over_limit("sessions that wait for one lease", limits::MAX_WAITERS_PER_LEASE);
             }
-        } else if self.leases.len() >= limits::LEASES {
-            return over("leases", limits::LEASES);
-        }
-        let own = self.sessions.get_mut(session).map(|s| &mut s.leases);
-        let Some(own) = own.filter(|own| own.len() < limits::LEASES_OF_SESSION) else {
-            return over("leases of one session", limits::LEASES_OF_SESSION);
+        } else if self.leases.len() >= limits::MAX_LEASES {
+            return over_limit("leases", limits::MAX_LEASES);
+        }
+        let session_leases = self.sessions.get_mut(session).map(|s| &mut s.leases);
+        let Some(session_leases) =
+            session_leases.filter(|session_leases| session_leases.len() < limits::MAX_LEASES_PER_SESSION)
+        else {
+            return over_limit("leases of one session", limits::MAX_LEASES_PER_SESSION);
         };
-        own.insert(name.into());
+        session_leases.insert(name.into());
         match self.leases.get_mut(name) {
             Some(lease) => {
                 lease.waiting.push_back(session.into());
@@ -294,7 +296,7 @@
         self.fences += 1;
         let fence = self.fences;
         self.leases.insert(name.into(), Lease { holder: holder.clone(), fence, waiting });
-        self.changed(Change::Granted { lease: name.into(), session: holder, fence });
+        self.record_change(Change::Granted { lease: name.into(), session: holder, fence });
         fence
     }
 
@@ -302,59 +304,59 @@
         if let Some(s) = self.sessions.get_mut(session) {
             s.leases.remove(name);
         }
-        self.let_go(session, name);
+        self.give_up(session, name);
         Answer::Released
     }
 
     /// Removes a session as holder or waiter of a lease, and grants the lease to the next waiting session.
-    fn let_go(&mut self, session: &str, name: &str) {
+    fn give_up(&mut self, session: &str, name: &str) {
         let Some(lease) = self.leases.get_mut(name) else { return };
         if lease.holder != session {
             return lease.waiting.retain(|w| w != session);
         }
         let (fence, mut waiting) = (lease.fence, std::mem::take(&mut lease.waiting));
         self.leases.remove(name);
-        self.changed(Change::Ended { lease: name.into(), fence });
+        self.record_change(Change::Ended { lease: name.into(), fence });
         if let Some(next) = waiting.pop_front() {
             self.grant(name, next, waiting);
         }
     }
 
-    fn end(&mut self, session: &str) {
-        let Some(gone) = self.sessions.remove(session) else { return };
-        for lease in &gone.leases {
-            self.let_go(session, lease);
+    fn end_session(&mut self, session: &str) {
+        let Some(removed) = self.sessions.remove(session) else { return };
+        for lease in &removed.leases {
+            self.give_up(session, lease);
         }
         self.ended.push_back(session.into());
-        if self.ended.len() > limits::ENDED {
+        if self.ended.len() > limits::MAX_ENDED_SESSIONS {
             self.ended.pop_front();
         }
         let mut changes = Vec::new();
-        self.fleet.session_over(session, &mut changes);
-        self.fleet_changed(changes);
+        self.fleet.session_ended(session, &mut changes);
+        self.record_fleet_changes(changes);
     }
 
     fn put(&mut self, key: &str, value: &str, at: Option<Revision>) -> Answer {
         if !limits::is_name(key) {
             return refused(Refusal::BadName);
         }
-        if value.len() > limits::VALUE {
-            return over("bytes of a value", limits::VALUE);
+        if value.len() > limits::MAX_VALUE_BYTES {
+            return over_limit("bytes of a value", limits::MAX_VALUE_BYTES);
         }
-        let before = self.values.get(key);
-        let last = before.map_or(0, |v| v.revision);
+        let previous = self.values.get(key);
+        let last = previous.map_or(0, |v| v.revision);
         if at.is_some_and(|at| at != last) {
             return refused(Refusal::Changed { at: last });
         }
-        if before.is_none() && self.values.len() >= limits::VALUES {
-            return over("values", limits::VALUES);
+        if previous.is_none() && self.values.len() >= limits::MAX_VALUES {
+            return over_limit("values", limits::MAX_VALUES);
         }
-        let bytes = self.value_bytes - before.map_or(0, |v| v.value.len()) + value.len();
-        if bytes > limits::ALL_VALUES {
-            return over("bytes of all values", limits::ALL_VALUES);
+        let bytes = self.value_bytes - previous.map_or(0, |v| v.value.len()) + value.len();
+        if bytes > limits::MAX_TOTAL_VALUE_BYTES {
+            return over_limit("bytes of all values", limits::MAX_TOTAL_VALUE_BYTES);
         }
         self.value_bytes = bytes;
-        let revision = self.changed(Change::Put { key: key.into(), value: value.into() });
+        let revision = self.record_change(Change::Put { key: key.into(), value: value.into() });
         self.values.insert(key.into(), Value { value: value.into(), revision });
         Answer::Stored { revision }
     }
@@ -364,29 +366,29 @@
         if last == 0 || at.is_some_and(|at| at != last) {
             return refused(Refusal::Changed { at: last });
         }
-        if let Some(gone) = self.values.remove(key) {
-            self.value_bytes -= gone.value.len();
+        if let Some(removed) = self.values.remove(key) {
+            self.value_bytes -= removed.value.len();
         }
-        Answer::Deleted { revision: self.changed(Change::Deleted { key: key.into() }) }
+        Answer::Deleted { revision: self.record_change(Change::Deleted { key: key.into() }) }
     }
 
-    fn changed(&mut self, change: Change) -> Revision {
+    fn record_change(&mut self, change: Change) -> Revision {
         self.revision += 1;
         self.history.push_back(change);
-        if self.history.len() > limits::HISTORY {
+        if self.history.len() > limits::MAX_HISTORY {
             self.history.pop_front();
         }
         self.revision
     }
 
     /// Returns the initial state of a new cluster with these coordinators.
-    pub fn founded(members: BTreeMap<u64, String>) -> Self {
+    pub fn new_cluster(members: BTreeMap<u64, String>) -> Self {
         let last_member = members.keys().next_back().copied().unwrap_or_default();
         ReplicatedState { members, last_member, ..ReplicatedState::default() }
     }
 
     /// Adds a coordinator or changes its address; removes it if `address` is `None`.
-    pub fn member(&mut self, number: u64, address: Option<String>) {
+    pub fn set_member(&mut self, number: u64, address: Option<String>) {
         self.last_member = self.last_member.max(number);
         match address {
             Some(address) => drop(self.members.insert(number, address)),
@@ -412,7 +414,7 @@
 
     /// Returns the changes after a revision, in order. Returns `None` if the history no longer reaches back
     /// that far, or if the revision is still in the future; the watcher then has to read the whole state.
-    pub fn since(&self, after: Revision) -> Option<impl Iterator<Item = (Revision, &Change)>> {
+    pub fn changes_since(&self, after: Revision) -> Option<impl Iterator<Item = (Revision, &Change)>> {
         let first = self.revision - self.history.len() as u64;
         (first..=self.revision).contains(&after).then(|| {
             let skipped = (after - first) as usize;
@@ -476,23 +478,30 @@
         // The state of an older format is complete, but from now on it may contain what an older version
         // cannot read.
         state.format = FORMAT;
-        if state.is_whole() { Ok(state) } else { Err(Unreadable::Damaged("its parts don't fit".into())) }
+        if state.is_consistent() {
+            Ok(state)
+        } else {
+            Err(Unreadable::Damaged("its parts are inconsistent".into()))
+        }
     }
 
     /// Whether the parts of the state are consistent with each other and within their limits.
-    fn is_whole(&self) -> bool {
-        let within = self.history.len() as u64 <= self.revision
-            && self.history.len() <= limits::HISTORY
-            && self.sessions.len() <= limits::SESSIONS
-            && self.leases.len() <= limits::LEASES
-            && self.fleet.is_whole();
+    fn is_consistent(&self) -> bool {
+        let within_limits = self.history.len() as u64 <= self.revision
+            && self.history.len() <= limits::MAX_HISTORY
+            && self.sessions.len() <= limits::MAX_SESSIONS
+            && self.leases.len() <= limits::MAX_LEASES
+            && self.fleet.is_consistent();
         // The references between leases and sessions are checked only for the small states of tests and
         // models, where that is cheap.
-        within
+        within_limits
             && (self.leases.len() > 64
                 || self.leases.iter().all(|(name, lease)| {
-                    let of = |s: &SessionId| self.sessions.get(s).is_some_and(|s| s.leases.contains(name));
-                    lease.fence <= self.fences && of(&lease.holder) && lease.waiting.iter().all(of)
+                    let refers_to_lease =
+                        |s: &SessionId| self.sessions.get(s).is_some_and(|s| s.leases.contains(name));
+                    lease.fence <= self.fences
+                        && refers_to_lease(&lease.holder)
+                        && lease.waiting.iter().all(refers_to_lease)
                 }))
     }
 }
--- a/crates/mothpier-coordination/src/session_expiry.rs
+++ b/crates/mothpier-coordination/src/session_expiry.rs
@@ -10,58 +10,64 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct SessionExpiry {
     /// Expiry time and number of renewals of each session.
-    ends: BTreeMap<SessionId, (u64, u64)>,
+    expiries: BTreeMap<SessionId, (u64, u64)>,
     /// The same sessions, ordered by expiry time.
-    order: BTreeSet<(u64, SessionId)>,
+    by_time: BTreeSet<(u64, SessionId)>,
 }
 
 impl SessionExpiry {
     /// Starts a leadership: every session gets its whole TTL from now on.
-    pub fn lead<'a>(&mut self, now: u64, sessions: impl Iterator<Item = (&'a SessionId, u64, u64)>) {
+    pub fn start_leadership<'a>(
+        &mut self,
+        now: u64,
+        sessions: impl Iterator<Item = (&'a SessionId, u64, u64)>,
+    ) {
         *self = SessionExpiry::default();
         for (session, ttl_ms, renewals) in sessions {
-            self.lives(now, session, ttl_ms, renewals);
+            self.record_renewal(now, session, ttl_ms, renewals);
         }
     }
 
     /// Records that a session was opened or renewed, as seen committed now.
-    pub fn lives(&mut self, now: u64, session: &str, ttl_ms: u64, renewals: u64) {
-        // Seeing the same renewal twice does not extend the session. `start` recorded the last renewal seen
-        // by the previous leader with a whole TTL.
-        if self.ends.get(session).is_some_and(|(_, known)| *known == renewals) {
+    pub fn record_renewal(&mut self, now: u64, session: &str, ttl_ms: u64, renewals: u64) {
+        // Seeing the same renewal twice does not extend the session. Renewals committed under the previous
+        // leader were already given a whole TTL by `start_leadership`.
+        if self.expiries.get(session).is_some_and(|(_, recorded)| *recorded == renewals) {
             return;
         }
-        self.over(session);
-        self.ends.insert(session.into(), (now + ttl_ms, renewals));
-        self.order.insert((now + ttl_ms, session.into()));
+        self.remove(session);
+        self.expiries.insert(session.into(), (now + ttl_ms, renewals));
+        self.by_time.insert((now + ttl_ms, session.into()));
     }
 
     /// Removes a session that has ended.
-    pub fn over(&mut self, session: &str) {
-        if let Some((at, _)) = self.ends.remove(session) {
-            self.order.remove(&(at, session.into()));
+    pub fn remove(&mut self, session: &str) {
+        if let Some((expires_at, _)) = self.expiries.remove(session) {
+            self.by_time.remove(&(expires_at, session.into()));
         }
     }
 
     /// Returns the earliest expiry time.
-    pub fn next(&self) -> Option<u64> {
-        self.order.first().map(|(at, _)| *at)
+    pub fn next_expiry(&self) -> Option<u64> {
+        self.by_time.first().map(|(expires_at, _)| *expires_at)
     }
 
     /// Returns the time until a session expires.
-    pub fn left(&self, now: u64, session: &str) -> Option<u64> {
-        self.ends.get(session).map(|(at, _)| at.saturating_sub(now))
+    pub fn remaining_ms(&self, now: u64, session: &str) -> Option<u64> {
+        self.expiries.get(session).map(|(expires_at, _)| expires_at.saturating_sub(now))
     }
 
-    /// Returns commands to expire the sessions whose time is over. They are returned again after `pause`,
+    /// Returns commands to expire the sessions whose time is over. They are returned again after `retry_delay`,
     /// because a proposal may be lost.
-    pub fn due(&mut self, now: u64, pause: u64) -> Vec<Command> {
+    pub fn take_due(&mut self, now: u64, retry_delay: u64) -> Vec<Command> {
         let mut commands = Vec::new();
-        while let Some((at, session)) = self.order.first().cloned().filter(|(at, _)| *at <= now) {
-            self.order.remove(&(at, session.clone()));
-            if let Some((ends, renewals)) = self.ends.get_mut(&session) {
-                *ends = now + pause;
-                self.order.insert((now + pause, session.clone()));
+        while let Some((expires_at, session)) =
+            self.by_time.first().cloned().filter(|(expires_at, _)| *expires_at <= now)
+        {
+            self.by_time.remove(&(expires_at, session.clone()));
+            if let Some((expiry, renewals)) = self.expiries.get_mut(&session) {
+                *expiry = now + retry_delay;
+                self.by_time.insert((now + retry_delay, session.clone()));
                 commands.push(Command::Expire { session, renewals: *renewals });
             }
         }
--- a/crates/mothpier-coordination/src/wire.rs
+++ b/crates/mothpier-coordination/src/wire.rs
@@ -50,7 +50,7 @@
 
 /// A lease as shown to clients.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Shown {
+pub struct LeaseInfo {
     /// The name of the lease.
     pub lease: String,
     /// The session that holds the lease.
@@ -75,12 +75,12 @@
     /// Fences that a process needs before it may accept fenced actions.
     pub floors: FenceFloors,
     /// The leases.
-    pub leases: Vec<Shown>,
+    pub leases: Vec<LeaseInfo>,
 }
 
 /// The whole fleet, read with the confirmation of a majority.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct FleetShown {
+pub struct FleetInfo {
     /// Revision of the last change.
     pub revision: u64,
     /// The fleet.
@@ -114,7 +114,7 @@
 
 /// The body of an error response.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Failed {
+pub struct ErrorResponse {
     /// The kind of error.
     pub error: Error,
     /// A message for people.
--- a/crates/mothpier-coordination/tests/agreed.rs
+++ b/crates/mothpier-coordination/tests/agreed.rs
@@ -44,7 +44,7 @@
     assert_eq!(agreed.apply(&ask("b", 2, Request::Release { lease: "roll".into() })), Answer::Released);
     assert_eq!(agreed.leases()["roll"].holder, "c");
     assert_eq!(agreed.floors().others, 5);
-    let told: Vec<_> = agreed.since(0).unwrap().map(|(_, c)| c.clone()).collect();
+    let told: Vec<_> = agreed.changes_since(0).unwrap().map(|(_, c)| c.clone()).collect();
     let granted =
         |fence, session: &str| Change::Granted { lease: "roll".into(), session: session.into(), fence };
     assert!(
@@ -101,13 +101,13 @@
     let delete = Request::Delete { key: "limit".into(), at: Some(2) };
     assert_eq!(agreed.apply(&ask("a", 4, delete.clone())), Answer::Deleted { revision: 3 });
     assert_eq!(refused(&agreed.apply(&ask("a", 5, delete))), Some(&Refusal::Changed { at: 0 }));
-    assert_eq!(agreed.since(1).unwrap().count(), 2);
-    assert!(agreed.since(4).is_none(), "that is still to come: the watcher knows more than this one");
-    for i in 0..limits::HISTORY as u64 {
+    assert_eq!(agreed.changes_since(1).unwrap().count(), 2);
+    assert!(agreed.changes_since(4).is_none(), "that is still to come: the watcher knows more than this one");
+    for i in 0..limits::MAX_HISTORY as u64 {
         agreed.apply(&ask("a", 6 + i, put("x", None)));
     }
-    assert!(agreed.since(2).is_none(), "too long ago to be told one by one");
-    assert_eq!(agreed.since(3).unwrap().count(), limits::HISTORY);
+    assert!(agreed.changes_since(2).is_none(), "too long ago to be told one by one");
+    assert_eq!(agreed.changes_since(3).unwrap().count(), limits::MAX_HISTORY);
 }
 
 #[test]
@@ -117,20 +117,20 @@
         Some(Refusal::OverLimit { limit, .. }) => assert_eq!(limit, name),
         _ => panic!("{answer:?}"),
     };
-    for name in ["", "two words", &"x".repeat(limits::NAME + 1)] {
+    for name in ["", "two words", &"x".repeat(limits::MAX_NAME_BYTES + 1)] {
         assert_eq!(refused(&agreed.apply(&open(name))), Some(&Refusal::BadName));
     }
     let short = agreed.apply(&Command::Open { session: "a".into(), ttl_ms: 1 });
     assert!(matches!(refused(&short), Some(Refusal::BadTtl { least_ms: 500, .. })));
     agreed.apply(&open("a"));
-    for i in 0..limits::LEASES_OF_SESSION as u64 {
+    for i in 0..limits::MAX_LEASES_PER_SESSION as u64 {
         agreed.apply(&ask("a", i + 1, acquire(&format!("l{i}"), true)));
     }
-    let next = limits::LEASES_OF_SESSION as u64 + 1;
+    let next = limits::MAX_LEASES_PER_SESSION as u64 + 1;
     over(agreed.apply(&ask("a", next, acquire("more", true))), "leases of one session");
-    let large = Request::Put { key: "k".into(), value: "x".repeat(limits::VALUE + 1), at: None };
+    let large = Request::Put { key: "k".into(), value: "x".repeat(limits::MAX_VALUE_BYTES + 1), at: None };
     over(agreed.apply(&ask("a", next + 1, large)), "bytes of a value");
-    for i in 1..limits::SESSIONS {
+    for i in 1..limits::MAX_SESSIONS {
         agreed.apply(&open(&format!("s{i}")));
     }
     over(agreed.apply(&open("one-more")), "sessions");
@@ -168,7 +168,7 @@
     let fleet = agreed.fleet();
     let stages: Vec<_> = fleet.drains.values().map(|d| (d.subject.id.as_str(), d.stage.name())).collect();
     assert_eq!(stages, [("a1", "returning"), ("a2", "leaving"), ("b1", "asked")]);
-    assert_eq!(fleet.waits_for(&fleet.drains[&4]), ["n2", "n3"]);
+    assert_eq!(fleet.awaited_nodes(&fleet.drains[&4]), ["n2", "n3"]);
     let out: Vec<_> = fleet.out(Kind::Server).into_keys().collect();
     assert_eq!(out, ["a1", "a2", "b1", "b2"]);
     // Read and written it is of this format, and the same state.
--- a/crates/mothpier-coordination/tests/fleet.rs
+++ b/crates/mothpier-coordination/tests/fleet.rs
@@ -14,7 +14,7 @@
 }
 
 fn ask(fleet: &mut Fleet, session: &str, ask: FleetCommand) -> Answered {
-    fleet.ask(session, &ask, &mut Vec::new())
+    fleet.apply(session, &ask, &mut Vec::new())
 }
 
 fn out(fleet: &mut Fleet, subject: Subject, wait: bool, force: bool) -> Answered {
@@ -74,7 +74,7 @@
 
 fn due(fleet: &mut Fleet, wanted: impl Fn(&Timer) -> bool) {
     let timer = fleet.timers().into_keys().find(wanted).expect("a timer");
-    fleet.due(&timer, &mut Vec::new());
+    fleet.timer_fired(&timer, &mut Vec::new());
 }
 
 fn blocked(answer: Answered) -> String {
@@ -93,12 +93,12 @@
     assert!(matches!(answer, Ok(FleetResponse::Drain { stage: Stage::Leaving, .. })), "{answer:?}");
     confirm(&mut fleet, &["n1", "n2"], &a1);
     let (_, drain) = fleet.drain_of(&a1).unwrap();
-    assert_eq!((drain.stage, fleet.waits_for(drain)), (Stage::Leaving, vec!["n3".into()]));
+    assert_eq!((drain.stage, fleet.awaited_nodes(drain)), (Stage::Leaving, vec!["n3".into()]));
     confirm(&mut fleet, &["n3"], &a1);
     assert_eq!(stage(&fleet, &a1), Some(Stage::Out));
     assert_eq!(
         blocked(out(&mut fleet, Subject::server("b1"), false, false)),
-        "servers.out_most is 1, and not in service are a1 (drain 1, out)"
+        "servers.out_most is 1; not in service: a1 (drain 1, out)"
     );
     back(&mut fleet, a1.clone()).unwrap();
     assert_eq!(stage(&fleet, &a1), Some(Stage::Returning));
@@ -137,10 +137,10 @@
 #[test]
 fn the_dead_and_the_unready_count_and_a_death_that_crosses_a_grant_leaves_no_place() {
     let mut fleet = fleet(2, 1);
-    fleet.session_over("n2", &mut Vec::new());
+    fleet.session_ended("n2", &mut Vec::new());
     reports(&mut fleet, "n3", false, None);
     let told = blocked(out(&mut fleet, Subject::node("n1"), false, false));
-    assert_eq!(told, "nodes.out_most is 2, and not in service are n2 (missing), n3 (not ready)");
+    assert_eq!(told, "nodes.out_most is 2; not in service: n2 (missing), n3 (not ready)");
     // A dead one takes its place too: it would stay out when it comes back.
     limits(&mut fleet, |l| l.nodes.out_most = 1);
     assert!(blocked(out(&mut fleet, Subject::node("n2"), false, false)).contains("n3 (not ready)"));
@@ -195,11 +195,11 @@
 #[test]
 fn a_node_that_is_silent_keeps_a_drain_at_leaving_until_it_confirms_or_staff_say_that_it_is_gone() {
     let (mut fleet, a1) = (fleet(1, 1), Subject::server("a1"));
-    fleet.session_over("n3", &mut Vec::new());
+    fleet.session_ended("n3", &mut Vec::new());
     out(&mut fleet, a1.clone(), false, false).unwrap();
     confirm(&mut fleet, &["n1", "n2"], &a1);
     let (_, drain) = fleet.drain_of(&a1).unwrap();
-    assert_eq!(fleet.waits_for(drain), ["n3"]);
+    assert_eq!(fleet.awaited_nodes(drain), ["n3"]);
     let gone = |node: &str| FleetCommand::Forget { subject: Subject::node(node), note: note("burnt") };
     assert_eq!(ask(&mut fleet, "staff", gone("n1")), Err(FleetRefusal::Lives));
     ask(&mut fleet, "staff", gone("n3")).unwrap();
@@ -256,7 +256,7 @@
     confirm(&mut fleet, &["n2"], &n2);
     assert_eq!(stage(&fleet, &n2), Some(Stage::Out));
     // It crashes while out, and comes back ready: it is still drained, and counts.
-    fleet.session_over("n2", &mut Vec::new());
+    fleet.session_ended("n2", &mut Vec::new());
     ask(&mut fleet, "n2-b", FleetCommand::Join { node: "n2".into(), zone: "z".into() }).unwrap();
     reports(&mut fleet, "n2-b", true, Some(&SERVERS));
     assert!(blocked(out(&mut fleet, Subject::node("n1"), false, false)).contains("n2 (drain"));
@@ -352,8 +352,8 @@
     drain("a1", Then::Stay);
     drain("a2", Then::Back);
     let ends: Vec<Timer> = fleet.timers().into_keys().collect();
-    ends.iter().for_each(|end| fleet.due(end, &mut Vec::new()));
-    ends.iter().for_each(|end| fleet.due(end, &mut Vec::new()));
+    ends.iter().for_each(|end| fleet.timer_fired(end, &mut Vec::new()));
+    ends.iter().for_each(|end| fleet.timer_fired(end, &mut Vec::new()));
     assert!(fleet.drain_of(&Subject::server("a1")).is_some_and(|(_, d)| d.overdue));
     assert_eq!(stage(&fleet, &Subject::server("a2")), Some(Stage::Returning));
     // One that starts by itself counts as cold for its time.
@@ -381,7 +381,7 @@
         ("staff", FleetCommand::Halt { note: note(" ") }, "a reason has to be given"),
         ("staff", FleetCommand::Halt { note: long }, "at most 500"),
         ("staff", FleetCommand::Limits { limits, note: note("l") }, "nodes.out_percent: 101"),
-        ("staff", FleetCommand::Confirm { drain: 1, turn: 1 }, "no node's"),
+        ("staff", FleetCommand::Confirm { drain: 1, turn: 1 }, "belongs to no node"),
         ("x", node("n 1"), "take letters"),
         ("n1", node("n9"), "another node's"),
     ] {
--- a/crates/mothpier-coordination/tests/fleet_index.rs
+++ b/crates/mothpier-coordination/tests/fleet_index.rs
@@ -65,13 +65,13 @@
         out
     }
 
-    pub fn waits_for(fleet: &Fleet, drain: &Drain) -> Vec<String> {
+    pub fn awaited_nodes(fleet: &Fleet, drain: &Drain) -> Vec<String> {
         let own = |name: &&String| drain.subject.kind == Kind::Server || **name == drain.subject.id;
         let names = fleet.nodes.keys().filter(own);
         names.filter(|name| !drain.confirmed.contains(*name)).cloned().collect()
     }
 
-    pub fn why_not(fleet: &Fleet, subject: &Subject) -> Option<(&'static str, u64)> {
+    pub fn blocking_limit(fleet: &Fleet, subject: &Subject) -> Option<(&'static str, u64)> {
         let kind = subject.kind;
         let zone = |id: &str| match kind {
             Kind::Node => fleet.nodes.get(id).map_or("", |node| &node.zone),
@@ -105,7 +105,7 @@
         None
     }
 
-    pub fn unwell(fleet: &Fleet) -> bool {
+    pub fn halt_reason(fleet: &Fleet) -> bool {
         let too_many = |kind: Kind, most: u32| {
             let granted = |id: &str| {
                 let mut drains = fleet.drains.values();
@@ -236,8 +236,8 @@
     /// The same command for both; both answer the same.
     fn ask(&mut self, session: &str, ask: FleetCommand) {
         let (mut one, mut other) = (Vec::new(), Vec::new());
-        let answer = self.by_deltas.ask(session, &ask, &mut one);
-        assert_eq!(answer, self.by_whole_lists.ask(session, &ask, &mut other));
+        let answer = self.by_deltas.apply(session, &ask, &mut one);
+        assert_eq!(answer, self.by_whole_lists.apply(session, &ask, &mut other));
         assert_eq!(one, other);
     }
 
@@ -250,12 +250,12 @@
         let Some(numbered) = process.reporter.next(ready, refused_percent) else { return };
         let (mut one, mut other) = (Vec::new(), Vec::new());
         let ask = FleetCommand::NumberedReport { report: numbered.clone() };
-        self.by_deltas.ask(&process.session, &ask, &mut one).unwrap();
+        self.by_deltas.apply(&process.session, &ask, &mut one).unwrap();
         process.reporter.accepted(numbered.number);
         process.sent.push(numbered);
         let servers = if list_is_new { process.list.clone() } else { None };
         let ask = FleetCommand::Report { report: Report { ready, refused_percent, servers } };
-        self.by_whole_lists.ask(&process.session, &ask, &mut other).unwrap();
+        self.by_whole_lists.apply(&process.session, &ask, &mut other).unwrap();
         assert_eq!(one, other);
     }
 
@@ -270,8 +270,8 @@
             Step::SessionOver(i) => {
                 let Some(process) = self.processes[*i].take() else { return };
                 let (mut one, mut other) = (Vec::new(), Vec::new());
-                self.by_deltas.session_over(&process.session, &mut one);
-                self.by_whole_lists.session_over(&process.session, &mut other);
+                self.by_deltas.session_ended(&process.session, &mut one);
+                self.by_whole_lists.session_ended(&process.session, &mut other);
                 assert_eq!(one, other);
             }
             Step::List(i, mask) => {
@@ -334,8 +334,8 @@
             Step::Due(nth) => {
                 let Some(timer) = self.by_deltas.timers().into_keys().nth(*nth) else { return };
                 let (mut one, mut other) = (Vec::new(), Vec::new());
-                self.by_deltas.due(&timer, &mut one);
-                self.by_whole_lists.due(&timer, &mut other);
+                self.by_deltas.timer_fired(&timer, &mut one);
+                self.by_whole_lists.timer_fired(&timer, &mut other);
                 assert_eq!(one, other);
             }
             Step::Snapshot => {
@@ -354,7 +354,7 @@
         let before = self.by_deltas.clone();
         let mut changes = Vec::new();
         let ask = FleetCommand::NumberedReport { report };
-        let answer = self.by_deltas.ask(&process.session, &ask, &mut changes);
+        let answer = self.by_deltas.apply(&process.session, &ask, &mut changes);
         let last = process.sent.len() as u64;
         assert_eq!(answer.err(), (back > 0).then_some(FleetRefusal::UnknownBase { last }));
         assert_eq!((before, changes), (self.by_deltas.clone(), Vec::new()));
@@ -369,24 +369,25 @@
         }
         for i in 0..NODES + SERVERS {
             let subject = subject(i);
-            let why_not = fleet.why_not(&subject).map(|blocked| {
+            let blocking_limit = fleet.blocking_limit(&subject).map(|blocked| {
                 assert!(blocked.by.len() == 5.min(blocked.count as usize), "{blocked}");
                 (blocked.limit.split('.').next_back().unwrap_or_default().to_owned(), blocked.count)
             });
             let known = fleet.nodes.contains_key(&subject.id) || fleet.servers.contains_key(&subject.id);
             if known {
-                let plainly = plain::why_not(fleet, &subject).map(|(limit, count)| (limit.to_owned(), count));
-                assert_eq!(why_not, plainly);
+                let plainly =
+                    plain::blocking_limit(fleet, &subject).map(|(limit, count)| (limit.to_owned(), count));
+                assert_eq!(blocking_limit, plainly);
             }
             let plainly = fleet.drains.iter().find(|(_, drain)| drain.subject == subject);
             assert_eq!(fleet.drain_of(&subject), plainly.map(|(number, drain)| (*number, drain)));
         }
         for drain in fleet.drains.values() {
-            assert_eq!(fleet.waits_for(drain), plain::waits_for(fleet, drain));
+            assert_eq!(fleet.awaited_nodes(drain), plain::awaited_nodes(fleet, drain));
             let leaving = drain.stage == Stage::Leaving && drain.back.is_none();
-            assert!(!leaving || !plain::waits_for(fleet, drain).is_empty(), "it is out: {drain:?}");
+            assert!(!leaving || !plain::awaited_nodes(fleet, drain).is_empty(), "it is out: {drain:?}");
         }
-        assert_eq!(fleet.unwell().is_some(), plain::unwell(fleet));
+        assert_eq!(fleet.halt_reason().is_some(), plain::halt_reason(fleet));
         let starts = fleet.timers().into_keys().filter(|timer| matches!(timer, Timer::Start { .. }));
         assert_eq!(starts.collect::<BTreeSet<_>>(), plain::starts(fleet));
     }
@@ -422,13 +423,14 @@
 
 fn joined(fleet: &mut Fleet, node: &str, session: &str) {
     let join = FleetCommand::Join { node: node.into(), zone: "a".into() };
-    fleet.ask(session, &join, &mut Vec::new()).unwrap();
+    fleet.apply(session, &join, &mut Vec::new()).unwrap();
 }
 
 #[test]
 fn a_delta_without_its_base_is_refused_with_the_last_number_and_changes_nothing() {
     let mut fleet = Fleet::default();
-    let ask = |fleet: &mut Fleet, session: &str, ask: FleetCommand| fleet.ask(session, &ask, &mut Vec::new());
+    let ask =
+        |fleet: &mut Fleet, session: &str, ask: FleetCommand| fleet.apply(session, &ask, &mut Vec::new());
     let delta = |base| ReportedServers::Delta { base, listed: vec![], unlisted: vec!["s1".into()] };
     let whole = || ReportedServers::Whole { listed: listed(&["s1", "s2"]) };
     joined(&mut fleet, "n1", "n1-a");
--- a/crates/mothpier-coordination/tests/fleet_model.rs
+++ b/crates/mothpier-coordination/tests/fleet_model.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeSet;
 
-use mothpier_coordination::fleet::follow::{Effect, Follower};
+use mothpier_coordination::fleet::follower::{Effect, Follower};
 use mothpier_coordination::fleet::limits::{Bound, Limits};
 use mothpier_coordination::fleet::messages::{
     AuditNote, FleetCommand, Kind, Listed, Report, Stage, Subject, Then,
@@ -100,7 +100,7 @@
     fn ask(&self, world: &mut World, session: &str, ask: &FleetCommand) {
         let before: BTreeSet<u64> = granted(&world.fleet).collect();
         let halted = world.fleet.halt.is_some();
-        let _ = world.fleet.ask(session, ask, &mut Vec::new());
+        let _ = world.fleet.apply(session, ask, &mut Vec::new());
         self.look(world, &before, halted);
     }
 
@@ -128,10 +128,11 @@
     }
 
     fn read(&self, world: &mut World, i: usize) {
-        let told = world.fleet.told();
+        let told = world.fleet.granted_drains();
         let machine = &mut world.machines[i];
-        machine.follower.read(told);
-        machine.effect = Effect { out: machine.follower.out(), empty: machine.follower.empties() };
+        machine.follower.replace_all(told);
+        machine.effect =
+            Effect { out: machine.follower.drained_servers(), empty: machine.follower.must_drain() };
     }
 
     fn step(&self, world: &mut World, step: Step) {
@@ -168,7 +169,7 @@
                 machine.lives += 1;
                 let session = format!("n{i}-{}", machine.lives);
                 machine.session = Some(session.clone());
-                machine.follower.joined();
+                machine.follower.reset_confirmations();
                 let serves = machine.serves;
                 let join = FleetCommand::Join { node: format!("n{i}"), zone: "z".into() };
                 self.ask(world, &session, &join);
@@ -197,13 +198,13 @@
             Step::Confirm(i) => {
                 let machine = &mut world.machines[i];
                 let effect = if self.twin == Twin::ConfirmsEarly {
-                    machine.follower.read(world.fleet.told());
-                    Effect { out: machine.follower.out(), empty: machine.follower.empties() }
+                    machine.follower.replace_all(world.fleet.granted_drains());
+                    Effect { out: machine.follower.drained_servers(), empty: machine.follower.must_drain() }
                 } else {
                     machine.effect.clone()
                 };
-                for (drain, turn) in machine.follower.confirms(&effect) {
-                    machine.follower.confirmed(drain, turn);
+                for (drain, turn) in machine.follower.confirmable(&effect) {
+                    machine.follower.record_confirmation(drain, turn);
                     world.net.insert((machine.session.clone().unwrap_or_default(), drain, turn));
                 }
             }
@@ -214,7 +215,7 @@
             Step::Due(timer) => {
                 let before: BTreeSet<u64> = granted(&world.fleet).collect();
                 let halted = world.fleet.halt.is_some();
-                world.fleet.due(&timer, &mut Vec::new());
+                world.fleet.timer_fired(&timer, &mut Vec::new());
                 self.look(world, &before, halted);
             }
         }
@@ -223,7 +224,7 @@
     fn over(&self, world: &mut World, session: &str) {
         let before: BTreeSet<u64> = granted(&world.fleet).collect();
         let halted = world.fleet.halt.is_some();
-        world.fleet.session_over(session, &mut Vec::new());
+        world.fleet.session_ended(session, &mut Vec::new());
         world.net.retain(|(whose, _, _)| whose != session);
         self.look(world, &before, halted);
     }
@@ -354,14 +355,14 @@
                 steps.push(Step::Over(i));
             }
             let mut seen = machine.follower.clone();
-            seen.read(fleet.told());
+            seen.replace_all(fleet.granted_drains());
             if seen != machine.follower {
                 steps.push(Step::Read(i));
             }
             if !machine.serves && machine.follower.knows() {
                 steps.push(Step::Ready(i));
             }
-            if self.twin == Twin::ConfirmsEarly || !machine.follower.confirms(&machine.effect).is_empty() {
+            if self.twin == Twin::ConfirmsEarly || !machine.follower.confirmable(&machine.effect).is_empty() {
                 steps.push(Step::Confirm(i));
             }
         }
@@ -410,8 +411,10 @@
             }),
             Property::always("what is stuck says why", |_, world: &World| {
                 let told = |d: &mothpier_coordination::fleet::Drain| match d.stage {
-                    Stage::Asked => world.fleet.why_not(&d.subject).is_some() || world.fleet.halt.is_some(),
-                    Stage::Leaving => d.back.is_some() || !world.fleet.waits_for(d).is_empty(),
+                    Stage::Asked => {
+                        world.fleet.blocking_limit(&d.subject).is_some() || world.fleet.halt.is_some()
+                    }
+                    Stage::Leaving => d.back.is_some() || !world.fleet.awaited_nodes(d).is_empty(),
                     _ => true,
                 };
                 world.fleet.drains.values().all(told)
@@ -471,12 +474,12 @@
 #[test]
 fn each_condition_that_is_left_out_is_found() {
     let twins = [
-        (Twin::Rule(Condition::DeadCount), Bounds { of_nodes: true, servers: 0, ..SMALL }),
-        (Twin::Rule(Condition::AllConfirm), SMALL),
-        (Twin::Rule(Condition::OfThisTurn), Bounds { drains: 3, ..SMALL }),
-        (Twin::Rule(Condition::ColdCounts), SMALL),
-        (Twin::Rule(Condition::HaltTakesBack), SMALL),
-        (Twin::Rule(Condition::HaltBringsBack), SMALL),
+        (Twin::Rule(Condition::MissingCountAsOut), Bounds { of_nodes: true, servers: 0, ..SMALL }),
+        (Twin::Rule(Condition::MissingNodesConfirm), SMALL),
+        (Twin::Rule(Condition::ConfirmationMatchesStage), Bounds { drains: 3, ..SMALL }),
+        (Twin::Rule(Condition::ColdCountsAsOut), SMALL),
+        (Twin::Rule(Condition::HaltCancelsWaiting), SMALL),
+        (Twin::Rule(Condition::HaltReturnsLeaving), SMALL),
         (Twin::RestartForgets, SMALL),
         (Twin::ConfirmsEarly, SMALL),
     ];
--- a/crates/mothpier-coordination/tests/model.rs
+++ b/crates/mothpier-coordination/tests/model.rs
@@ -217,7 +217,7 @@
             (Command::Open { session, ttl_ms: ttl }, Answer::Opened) => {
                 let renewals = w.agreed.session(session).map_or(0, |s| s.renewals);
                 if renewals == 0 || self.twin != Twin::OpenAgainIsNoRenewal {
-                    w.keeper.lives(w.clock, session, *ttl, renewals);
+                    w.keeper.record_renewal(w.clock, session, *ttl, renewals);
                 }
                 if session == NAMES[0] {
                     w.lived = w.now;
@@ -225,13 +225,13 @@
             }
             (Command::Renew { session }, Answer::Renewed) => {
                 let (ttl, renewals) = w.agreed.session(session).map_or((TTL, 0), |s| (s.ttl_ms, s.renewals));
-                w.keeper.lives(w.clock, session, ttl, renewals);
+                w.keeper.record_renewal(w.clock, session, ttl, renewals);
                 if session == NAMES[0] {
                     w.lived = w.now;
                 }
             }
             (Command::Expire { session, .. } | Command::Close { session }, Answer::Closed) => {
-                w.keeper.over(session);
+                w.keeper.remove(session);
             }
             _ => {}
         }
@@ -245,7 +245,7 @@
 
     /// Whether the leader has something to end that it has not ended yet.
     fn overdue(&self, w: &World) -> bool {
-        !w.proposed.is_empty() || w.keeper.next().is_some_and(|at| at <= w.clock)
+        !w.proposed.is_empty() || w.keeper.next_expiry().is_some_and(|at| at <= w.clock)
     }
 
     fn deliver(&self, w: &mut World, message: &Message) {
@@ -289,9 +289,9 @@
                     Answer::Opened => {
                         c.open = true;
                         c.asked = c.asked.max(u64::from(!self.releases));
-                        c.hold.confirmed(counted);
+                        c.hold.confirm_renewal(counted);
                     }
-                    Answer::Renewed => c.hold.confirmed(counted),
+                    Answer::Renewed => c.hold.confirm_renewal(counted),
                     Answer::Released => (c.released, c.fence) = (true, None),
                     _ => {}
                 }
@@ -300,13 +300,14 @@
                 let l = &mut w.listeners[*listener];
                 let now = l.clock;
                 let in_time = if self.timed && self.twin != Twin::ActWithoutItsTime {
-                    l.obeyer.in_time(act, now)
+                    l.obeyer.check_deadline(act, now)
                 } else {
                     Ok(())
                 };
-                let fenced = if self.twin == Twin::NoFence { Ok(()) } else { l.obeyer.fenced(act) };
+                let fenced = if self.twin == Twin::NoFence { Ok(()) } else { l.obeyer.check_fence(act) };
                 let once = self.timed && self.twin != Twin::ObeysTwice;
-                let once = !once || (in_time.is_ok() && fenced.is_ok() && l.obeyer.once(act, now).is_ok());
+                let once =
+                    !once || (in_time.is_ok() && fenced.is_ok() && l.obeyer.record_once(act, now).is_ok());
                 if once && in_time.is_ok() && fenced.is_ok() {
                     let this = Some((act.fence, *client));
                     let other =
@@ -332,7 +333,7 @@
         let kept_off = if self.twin == Twin::NoBoundForDrift { 0 } else { KEPT_OFF };
         let client = Client {
             clock: 0,
-            hold: LeaseValidity::keeping_off(TTL, kept_off),
+            hold: LeaseValidity::with_guard(TTL, kept_off),
             opened: 0,
             open: false,
             asked: 0,
@@ -392,7 +393,7 @@
         if !caught_up {
             steps.push(Step::Take);
         }
-        if self.twin != Twin::LeaderNeverExpires && w.keeper.next().is_some_and(|at| at <= w.clock) {
+        if self.twin != Twin::LeaderNeverExpires && w.keeper.next_expiry().is_some_and(|at| at <= w.clock) {
             steps.push(Step::Expire);
         }
         if caught_up {
@@ -429,7 +430,7 @@
                 if c.told.is_none() && self.timed {
                     // Which of those who obey it is makes no difference: the first client goes to the last.
                     steps.push(Step::ToldClock(i, if i == 0 { self.obeyers - 1 } else { 0 }));
-                } else if fence > 0 && (!self.timed || c.hold.left(c.clock).is_some()) {
+                } else if fence > 0 && (!self.timed || c.hold.remaining(c.clock).is_some()) {
                     steps.push(Step::FencedAction(i));
                 }
                 if self.twin == Twin::ExpiryByTheWallClock && c.clock >= 4 * TICK && !w.jumped {
@@ -441,7 +442,7 @@
             steps.extend((0..self.obeyers).map(Step::Restart));
         }
         for (j, l) in w.listeners.iter().enumerate() {
-            if !l.obeyer.knows() && caught_up {
+            if !l.obeyer.knows_fences() && caught_up {
                 steps.push(Step::Learn(j));
             }
         }
@@ -475,14 +476,17 @@
                 w.agreed = self.replay(&w.log[..w.taken[next]]);
                 let sessions: Vec<_> =
                     w.agreed.sessions().map(|(s, of)| (s.clone(), of.ttl_ms, of.renewals)).collect();
-                w.keeper.lead(w.clock, sessions.iter().map(|(s, ttl, renewals)| (s, *ttl, *renewals)));
+                w.keeper.start_leadership(
+                    w.clock,
+                    sessions.iter().map(|(s, ttl, renewals)| (s, *ttl, *renewals)),
+                );
             }
             Step::Take => {
                 let command = w.log[w.taken[w.leader]].clone();
                 self.apply(&mut w, &command);
             }
             Step::Expire => {
-                let mut due = w.keeper.due(w.clock, 100 * TTL);
+                let mut due = w.keeper.take_due(w.clock, 100 * TTL);
                 if self.twin == Twin::OpenAgainIsNoRenewal {
                     for command in &mut due {
                         if let Command::Expire { session, renewals } = command {
@@ -523,7 +527,7 @@
                 let c = &mut w.clients[i];
                 c.acted = true;
                 let (j, told) = c.told.unwrap_or((0, 0));
-                let left = c.hold.left(c.clock).unwrap_or(0);
+                let left = c.hold.remaining(c.clock).unwrap_or(0);
                 let act = FencedAction {
                     lease: LEASE.into(),
                     fence: c.fence?,
--- a/crates/mothpier-coordination/tests/report_model.rs
+++ b/crates/mothpier-coordination/tests/report_model.rs
@@ -119,8 +119,8 @@
 
 impl World {
     fn both(&mut self, session: &str, ask: &FleetCommand) {
-        let _ = self.fleet.ask(session, ask, &mut Vec::new());
-        let _ = self.reference.ask(session, ask, &mut Vec::new());
+        let _ = self.fleet.apply(session, ask, &mut Vec::new());
+        let _ = self.reference.apply(session, ask, &mut Vec::new());
     }
 
     fn join(&mut self, i: usize) {
@@ -145,7 +145,7 @@
 
     fn deliver(&mut self, message: &Message, answered: bool) {
         let ask = FleetCommand::NumberedReport { report: message.report.clone() };
-        let answer = self.fleet.ask(&message.session, &ask, &mut Vec::new());
+        let answer = self.fleet.apply(&message.session, &ask, &mut Vec::new());
         let process = &mut self.processes[message.node];
         if !process.joined || process.session(message.node) != message.session {
             return;
@@ -159,7 +159,7 @@
         if number > process.taken && builds_on.is_none_or(|base| base == process.taken) {
             process.taken = number;
             let report = Report { ready: message.report.ready, refused_percent: 0, servers };
-            let _ = self.reference.ask(&message.session, &FleetCommand::Report { report }, &mut Vec::new());
+            let _ = self.reference.apply(&message.session, &FleetCommand::Report { report }, &mut Vec::new());
         }
         if answered {
             match answer {
@@ -174,8 +174,8 @@
         let process = &mut self.processes[i];
         process.joined = false;
         let session = process.session(i);
-        self.fleet.session_over(&session, &mut Vec::new());
-        self.reference.session_over(&session, &mut Vec::new());
+        self.fleet.session_ended(&session, &mut Vec::new());
+        self.reference.session_ended(&session, &mut Vec::new());
     }
 
     fn read_older_snapshot(&mut self, without: Option<Condition>) {
@@ -380,7 +380,8 @@
 
 #[test]
 fn each_condition_of_reports_that_is_left_out_is_found() {
-    for condition in [Condition::BaseMatches, Condition::ReportOnce, Condition::EndUncounts] {
+    for condition in [Condition::DeltaBaseMatches, Condition::RepeatIgnored, Condition::EndedSessionUncounted]
+    {
         let threads = std::thread::available_parallelism().map_or(1, usize::from);
         let most = Counts { changes: 3, ..SMALL };
         let checker = Bounds { without: Some(condition), most }
--- a/crates/mothpier-coordinator/src/core.rs
+++ b/crates/mothpier-coordinator/src/core.rs
@@ -362,10 +362,10 @@
     /// The store failed, or the log holds what this program can't read: it must end.
     pub fn turn(&mut self, now: u64) -> Result<(), Trouble> {
         if self.leads {
-            for expire in self.keeper.due(now, EXPIRE_AGAIN_MS) {
+            for expire in self.keeper.take_due(now, EXPIRE_AGAIN_MS) {
                 drop(self.propose(&expire));
             }
-            for timer in self.timers.due(now, EXPIRE_AGAIN_MS) {
+            for timer in self.timers.take_due(now, EXPIRE_AGAIN_MS) {
                 drop(self.propose(&Command::Due { timer }));
             }
         }
@@ -374,7 +374,7 @@
             self.ready(now)?;
         }
         if std::mem::take(&mut self.moved) && self.leads {
-            self.timers.wanted(now, &self.agreed.fleet().timers());
+            self.timers.update(now, &self.agreed.fleet().timers());
         }
         self.snapshot()
     }
@@ -437,7 +437,7 @@
         }
         if leads && !self.leads {
             let sessions = self.agreed.sessions().map(|(name, s)| (name, s.ttl_ms, s.renewals));
-            self.keeper.lead(now, sessions);
+            self.keeper.start_leadership(now, sessions);
             (self.timers, self.moved) = (Timers::default(), true);
         }
         if !leads && self.leads {
@@ -499,7 +499,7 @@
                     self.log.wanted.set(true);
                     let address = String::from_utf8_lossy(&change.context).into_owned();
                     let stays = change.get_change_type() != ConfChangeType::RemoveNode;
-                    self.agreed.member(change.node_id, stays.then_some(address));
+                    self.agreed.set_member(change.node_id, stays.then_some(address));
                     let number = entry.context.as_ref().try_into().map(u64::from_be_bytes);
                     if let Some(tell) = number.ok().and_then(|n| self.proposals.remove(&n)) {
                         let _ = tell.send(Ended::Changed);
@@ -525,11 +525,11 @@
             (Command::Open { session, .. }, Answer::Opened)
             | (Command::Renew { session }, Answer::Renewed) => {
                 if let Some(s) = self.agreed.session(session) {
-                    self.keeper.lives(now, session, s.ttl_ms, s.renewals);
+                    self.keeper.record_renewal(now, session, s.ttl_ms, s.renewals);
                 }
             }
             (Command::Expire { session, .. } | Command::Close { session }, Answer::Closed) => {
-                self.keeper.over(session);
+                self.keeper.remove(session);
                 self.moved = true;
             }
             (Command::Ask { request: Request::Fleet { .. }, .. } | Command::Due { .. }, _) => {
@@ -576,12 +576,12 @@
 
     /// What is left of a session's time, at a leader.
     pub fn left(&self, now: u64, session: &str) -> Option<u64> {
-        self.keeper.left(now, session)
+        self.keeper.remaining_ms(now, session)
     }
 
     /// When a session ends that is not renewed, or a timer is due, in ms of the machine's clock; at a leader.
     pub fn next_end(&self) -> Option<u64> {
-        self.keeper.next().into_iter().chain(self.timers.next()).min().filter(|_| self.leads)
+        self.keeper.next_expiry().into_iter().chain(self.timers.next_due()).min().filter(|_| self.leads)
     }
 
     /// Whether this member leads, as far as it knows.
--- a/crates/mothpier-coordinator/src/door.rs
+++ b/crates/mothpier-coordinator/src/door.rs
@@ -16,7 +16,7 @@
 use hyper_util::rt::TokioIo;
 use mothpier_coordination::Command;
 use mothpier_coordination::wire::{
-    CLUSTER, Call, Drains, Error, Failed, FleetShown, Leases, MemberCall, Shown,
+    CLUSTER, Call, Drains, Error, ErrorResponse, FleetInfo, LeaseInfo, Leases, MemberCall,
 };
 use mothpier_net::{Listener, Net, Stream, Task};
 use protobuf::Message as _;
@@ -212,7 +212,7 @@
     let agreed = core.agreed();
     let leases = agreed.leases().iter().map(|(name, lease)| {
         let session = agreed.session(&lease.holder);
-        Shown {
+        LeaseInfo {
             lease: name.clone(),
             holder: lease.holder.clone(),
             fence: lease.fence,
@@ -229,12 +229,12 @@
     json!({"revision": core.agreed().revision(), "values": core.agreed().values()})
 }
 
-fn fleet(core: &Core) -> FleetShown {
-    FleetShown { revision: core.agreed().revision(), fleet: core.agreed().fleet().shown() }
+fn fleet(core: &Core) -> FleetInfo {
+    FleetInfo { revision: core.agreed().revision(), fleet: core.agreed().fleet().shown() }
 }
 
 fn drains(core: &Core) -> Drains {
-    Drains { revision: core.agreed().revision(), drains: core.agreed().fleet().told() }
+    Drains { revision: core.agreed().revision(), drains: core.agreed().fleet().granted_drains() }
 }
 
 async fn watch<N: Net>(member: &Rc<Member<N>>, query: &str) -> Reply {
@@ -254,7 +254,7 @@
         let word = member.changed.notified();
         {
             let core = member.core.borrow();
-            let Some(changes) = core.agreed().since(after) else {
+            let Some(changes) = core.agreed().changes_since(after) else {
                 let revision = core.agreed().revision();
                 return said(StatusCode::GONE, &json!({"revision": revision, "error": "read_the_whole"}));
             };
@@ -290,5 +290,5 @@
         Error::NotFound => StatusCode::NOT_FOUND,
     };
     let leader = Some(member.core.borrow().leader()).filter(|l| *l != 0);
-    said(status, &Failed { error, message, leader })
+    said(status, &ErrorResponse { error, message, leader })
 }
--- a/crates/mothpier-coordinator/src/lib.rs
+++ b/crates/mothpier-coordinator/src/lib.rs
@@ -53,7 +53,7 @@
 pub fn init(config: &Config) -> Result<(), Trouble> {
     let members: Vec<u64> = config.members.keys().copied().collect();
     let addresses = config.members.iter().map(|(id, at)| (*id, at.to_string())).collect();
-    let state = ReplicatedState::founded(addresses).to_bytes();
+    let state = ReplicatedState::new_cluster(addresses).to_bytes();
     Store::init(&config.folder, &config.cluster, config.member, &members, &state)
 }
 
--- a/crates/mothpier-sim/src/coordinators.rs
+++ b/crates/mothpier-sim/src/coordinators.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write as _;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use mothpier_coordination::lease_validity::CLOCK_ERROR;
+use mothpier_coordination::lease_validity::CLOCK_ERROR_PER_MILLE;
 use mothpier_coordination::{
     Answer, Command, Fence, FenceFloors, FenceGuard, FencedAction, LeaseValidity, Refusal, ReplicatedState,
     Request,
@@ -215,11 +215,13 @@
     let dice = Dice::part(seed, 31);
     let members = if dice.chance(0.5) { 3 } else { 5 };
     // Errors of all clocks within the bound, or a good deal beyond it.
-    let errs = CLOCK_ERROR as f64 / 1000.0 * if twin == Some(Twin::DriftBeyondTheBound) { 60.0 } else { 1.0 };
+    let errs = CLOCK_ERROR_PER_MILLE as f64 / 1000.0
+        * if twin == Some(Twin::DriftBeyondTheBound) { 60.0 } else { 1.0 };
     let clock =
         |_: usize| Clock { from: dice.within(1 << 20, 1 << 30), rate: 1.0 + dice.between(-errs, errs) };
     let numbers: Vec<u64> = (1..=members as u64).collect();
-    let state = ReplicatedState::founded(numbers.iter().map(|n| (*n, String::new())).collect()).to_bytes();
+    let state =
+        ReplicatedState::new_cluster(numbers.iter().map(|n| (*n, String::new())).collect()).to_bytes();
     let machine = |i: usize| {
         let disk = Disk::new(twin == Some(Twin::LyingDisk));
         Store::init_on(disk.clone(), "sim", i as u64 + 1, &numbers, &state).expect("a new disk");
@@ -290,7 +292,7 @@
 
 fn hold(twin: Option<Twin>) -> LeaseValidity {
     if twin == Some(Twin::DriftBeyondTheBound) {
-        LeaseValidity::keeping_off(TTL, 0)
+        LeaseValidity::with_guard(TTL, 0)
     } else {
         LeaseValidity::new(TTL)
     }
@@ -585,9 +587,11 @@
         let now = l.clock.at(self.now);
         let obeyed = match self.twin {
             Some(Twin::ObeysAnybody) => Ok(()),
-            Some(Twin::ObeysTwice) => l.obeyer.in_time(act, now).and_then(|()| l.obeyer.fenced(act)),
-            Some(Twin::ObeysFromNothing) => l.obeyer.fenced(act),
-            _ => l.obeyer.obey(act, now),
+            Some(Twin::ObeysTwice) => {
+                l.obeyer.check_deadline(act, now).and_then(|()| l.obeyer.check_fence(act))
+            }
+            Some(Twin::ObeysFromNothing) => l.obeyer.check_fence(act),
+            _ => l.obeyer.accept(act, now),
         };
         let Who::Client(whose) = from else { return };
         self.send(Who::FenceGuard(i), from, What::Acted(act.number));
@@ -613,7 +617,7 @@
     /// One that obeys learns the fences, from a majority.
     fn listen(&mut self, i: usize) {
         let l = &self.listeners[i];
-        if l.obeyer.knows() || l.asked.is_some_and(|(_, at)| at + PATIENCE > self.now) {
+        if l.obeyer.knows_fences() || l.asked.is_some_and(|(_, at)| at + PATIENCE > self.now) {
             return;
         }
         self.numbers += 1;
@@ -652,7 +656,7 @@
             return;
         }
         let local = c.clock.at(now) - c.jumped;
-        if c.open && c.hold.left(local).is_none() {
+        if c.open && c.hold.remaining(local).is_none() {
             // Its time is over: it begins anew.
             (c.open, c.fence, c.asked, c.renewing, c.waits_for_time) = (false, None, None, None, None);
         }
@@ -742,7 +746,7 @@
                     return;
                 }
                 c.waits_for_time = None;
-                let (Some(left), Some(fence)) = (c.hold.left(local), c.fence) else { return };
+                let (Some(left), Some(fence)) = (c.hold.remaining(local), c.fence) else { return };
                 c.acts += 1;
                 self.numbers += 1;
                 c.out.0.insert(self.numbers);
@@ -768,7 +772,7 @@
                     match reply {
                         Reply::Did(Answer::Renewed) => {
                             let early = self.twin != Some(Twin::CountedFromTheAnswer);
-                            c.hold.confirmed(if early { asked_at } else { local });
+                            c.hold.confirm_renewal(if early { asked_at } else { local });
                             c.renewing = None;
                         }
                         Reply::NotLeading => c.to = (c.to + 1) % self.machines.len(),
@@ -788,7 +792,7 @@
                     }
                     (Asked::Open, Reply::Did(Answer::Opened)) => {
                         let early = self.twin != Some(Twin::CountedFromTheAnswer);
-                        c.hold.confirmed(if early { asked_at } else { local });
+                        c.hold.confirm_renewal(if early { asked_at } else { local });
                         (c.open, c.asked) = (true, None);
                     }
                     (Asked::Acquire, Reply::Did(Answer::Granted { fence })) => {
--- a/crates/mothpier-sim/src/drains.rs
+++ b/crates/mothpier-sim/src/drains.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mothpier_coordination::fleet::follow::{Effect, Follower};
+use mothpier_coordination::fleet::follower::{Effect, Follower};
 use mothpier_coordination::fleet::limits::{Bound, Limits};
 use mothpier_coordination::fleet::messages::{
     AuditNote, FleetCommand, FleetRefusal, FleetResponse, Kind, Listed, Stage, Subject, Then,
@@ -38,14 +38,14 @@
 
 /// All of them.
 pub const TWINS: [Twin; 9] = [
-    Twin::Rule(Condition::DeadCount),
-    Twin::Rule(Condition::AllConfirm),
-    Twin::Rule(Condition::OfThisTurn),
-    Twin::Rule(Condition::ColdCounts),
-    Twin::Rule(Condition::HaltTakesBack),
-    Twin::Rule(Condition::HaltBringsBack),
-    Twin::Rule(Condition::BaseMatches),
-    Twin::Rule(Condition::EndUncounts),
+    Twin::Rule(Condition::MissingCountAsOut),
+    Twin::Rule(Condition::MissingNodesConfirm),
+    Twin::Rule(Condition::ConfirmationMatchesStage),
+    Twin::Rule(Condition::ColdCountsAsOut),
+    Twin::Rule(Condition::HaltCancelsWaiting),
+    Twin::Rule(Condition::HaltReturnsLeaving),
+    Twin::Rule(Condition::DeltaBaseMatches),
+    Twin::Rule(Condition::EndedSessionUncounted),
     Twin::RestartForgets,
 ];
 
@@ -313,7 +313,7 @@
         let before = self.granted();
         let halted = self.fleet.halt.is_some();
         self.played.commands += 1;
-        let answer = self.fleet.ask(session, ask, &mut Vec::new());
+        let answer = self.fleet.apply(session, ask, &mut Vec::new());
         self.after(&before, halted);
         answer
     }
@@ -323,7 +323,7 @@
     }
 
     fn after(&mut self, before: &BTreeSet<u64>, halted: bool) {
-        self.timers.wanted(self.now, &self.fleet.timers());
+        self.timers.update(self.now, &self.fleet.timers());
         if self.fleet.halt.is_some() && !halted {
             self.played.halts += 1;
         }
@@ -363,7 +363,7 @@
         }
         self.fleet.events.clear();
         // Where the dead are not meant to count, that has to show in a grant.
-        if !self.all && self.twin != Some(Twin::Rule(Condition::DeadCount)) {
+        if !self.all && self.twin != Some(Twin::Rule(Condition::MissingCountAsOut)) {
             self.judge_count();
         }
     }
@@ -408,7 +408,7 @@
 
     fn lead(&mut self) {
         self.timers = Timers::default();
-        self.timers.wanted(self.now, &self.fleet.timers());
+        self.timers.update(self.now, &self.fleet.timers());
         for machine in &mut self.machines {
             if let Some((_, ends)) = &mut machine.session {
                 *ends = self.now + TTL;
@@ -431,15 +431,15 @@
             if let Some((session, _)) = self.machines[i].session.take_if(|_| over) {
                 let (before, halted) = (self.granted(), self.fleet.halt.is_some());
                 self.played.commands += 1;
-                self.fleet.session_over(&session, &mut Vec::new());
+                self.fleet.session_ended(&session, &mut Vec::new());
                 self.after(&before, halted);
                 self.machines[i].joined = false;
             }
         }
-        for timer in self.timers.due(self.now, AGAIN) {
+        for timer in self.timers.take_due(self.now, AGAIN) {
             let (before, halted) = (self.granted(), self.fleet.halt.is_some());
             self.played.commands += 1;
-            self.fleet.due(&timer, &mut Vec::new());
+            self.fleet.timer_fired(&timer, &mut Vec::new());
             self.after(&before, halted);
         }
     }
@@ -470,15 +470,16 @@
         }
         let machine = &mut self.machines[i];
         if let Some((_, told)) = machine.reads.take_if(|(at, _)| *at <= now) {
-            machine.follower.read(told);
-            machine.effect = Effect { out: machine.follower.out(), empty: machine.follower.empties() };
+            machine.follower.replace_all(told);
+            machine.effect =
+                Effect { out: machine.follower.drained_servers(), empty: machine.follower.must_drain() };
             machine.serves = true;
         }
         if !reached || !now.is_multiple_of(LOOK) {
             return;
         }
         if machine.reads.is_none() {
-            machine.reads = Some((now + self.dice.within(1, self.late), self.fleet.told()));
+            machine.reads = Some((now + self.dice.within(1, self.late), self.fleet.granted_drains()));
         }
         if let Some((_, ends)) = &mut machine.session {
             *ends = now + TTL;
@@ -522,7 +523,7 @@
             machine.reported.clone_from(&machine.list.1);
             return Some(FleetCommand::NumberedReport { report });
         }
-        let confirms = machine.follower.confirms(&machine.effect);
+        let confirms = machine.follower.confirmable(&machine.effect);
         confirms.first().map(|(drain, turn)| FleetCommand::Confirm { drain: *drain, turn: *turn })
     }
 
@@ -556,11 +557,11 @@
             FleetCommand::Join { .. } => {
                 machine.joined = answer.is_ok();
                 (machine.reporter, machine.list) = (Reporter::default(), (0, BTreeSet::new()));
-                machine.follower.joined();
+                machine.follower.reset_confirmations();
             }
             FleetCommand::NumberedReport { report } => self.report_answered(i, report.number, answer),
             FleetCommand::Confirm { drain, turn } if answer.is_ok() => {
-                machine.follower.confirmed(*drain, *turn)
+                machine.follower.record_confirmation(*drain, *turn)
             }
             _ => {}
         }
--- a/crates/mothpier-trials/src/scale/hollow.rs
+++ b/crates/mothpier-trials/src/scale/hollow.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use mothpier_coordination::Change;
-use mothpier_coordination::fleet::follow::{Effect, Follower};
+use mothpier_coordination::fleet::follower::{Effect, Follower};
 use mothpier_coordination::fleet::messages::{FleetCommand, FleetRefusal};
 use mothpier_coordination::fleet::reporter::Reporter;
 use mothpier_coordination_client::{Client, Seen, Session};
@@ -107,7 +107,7 @@
         loop {
             match self.client.drains(self.net().now() + READ).await {
                 Ok(all) => {
-                    self.follower.borrow_mut().read(all.drains);
+                    self.follower.borrow_mut().replace_all(all.drains);
                     self.obey();
                     self.shared.update(self.plan.number, |state| state.knows = true);
                     self.follow(all.revision).await;
@@ -130,7 +130,7 @@
             }
             for (_, change) in changes {
                 if let Change::Fleet { what } = change {
-                    self.follower.borrow_mut().change(&what);
+                    self.follower.borrow_mut().apply_change(&what);
                 }
             }
             revision = next;
@@ -142,7 +142,7 @@
     fn obey(&self) {
         let (out, empties) = {
             let follower = self.follower.borrow();
-            (follower.out(), follower.empties())
+            (follower.drained_servers(), follower.must_drain())
         };
         let before = self.out.replace(out.clone());
         for server in before.symmetric_difference(&out) {
@@ -207,7 +207,7 @@
         let joined = session.fleet(join).await.map_err(|lost| lost.to_string())?;
         joined.map_err(|why| why.to_string())?;
         *self.joined.borrow_mut() = Some(session.name.clone());
-        self.follower.borrow_mut().joined();
+        self.follower.borrow_mut().reset_confirmations();
         self.shared.update(self.plan.number, |state| state.joined = true);
         let (mut reporter, mut list_held) = (Reporter::default(), 0);
         loop {
@@ -217,12 +217,12 @@
             }
             let ready = self.is_ready();
             self.report_changes(session, &mut reporter, ready, list_held).await?;
-            let empty = self.follower.borrow().empties() && !ready;
+            let empty = self.follower.borrow().must_drain() && !ready;
             let effect = Effect { out: self.out.borrow().clone(), empty };
-            let confirms = self.follower.borrow().confirms(&effect);
+            let confirms = self.follower.borrow().confirmable(&effect);
             for (drain, turn) in confirms {
                 self.ask(session, FleetCommand::Confirm { drain, turn }).await?;
-                self.follower.borrow_mut().confirmed(drain, turn);
+                self.follower.borrow_mut().record_confirmation(drain, turn);
             }
             self.net().sleep(LOOK).await;
             self.look(session);
@@ -233,7 +233,7 @@
     /// It knows who is out, and takes work.
     fn is_ready(&self) -> bool {
         let follower = self.follower.borrow();
-        follower.knows() && !follower.empties()
+        follower.knows() && !follower.must_drain()
     }
 
     /// Reports what has changed, if anything has.
--- a/crates/mothpier/src/drains.rs
+++ b/crates/mothpier/src/drains.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use mothpier_coordination::Change;
-use mothpier_coordination::fleet::follow::{Effect, Follower};
+use mothpier_coordination::fleet::follower::{Effect, Follower};
 use mothpier_coordination::fleet::messages::{FleetCommand, FleetRefusal, Listed};
 use mothpier_coordination::fleet::reporter::{ReadyList, Reporter, ready_list};
 use mothpier_coordination_client::{Client, Seen, Session};
@@ -125,7 +125,7 @@
             match self.client.drains(self.net().now() + CALL_TIMEOUT).await {
                 Ok(all) => {
                     let first = !self.follower.borrow().knows();
-                    self.follower.borrow_mut().read(all.drains);
+                    self.follower.borrow_mut().replace_all(all.drains);
                     self.apply_drains().await;
                     if first {
                         self.net().log("who of the fleet is out is known");
@@ -151,7 +151,7 @@
             }
             for (_, change) in changes {
                 if let Change::Fleet { what } = change {
-                    self.follower.borrow_mut().change(&what);
+                    self.follower.borrow_mut().apply_change(&what);
                 }
             }
             revision = next;
@@ -163,7 +163,7 @@
     async fn apply_drains(&self) {
         let (out, node_drained) = {
             let follower = self.follower.borrow();
-            (follower.out(), follower.empties())
+            (follower.drained_servers(), follower.must_drain())
         };
         if let Some(succession) = &self.operations.succession {
             // A failure to store them is logged there, and the write is retried.
@@ -240,7 +240,7 @@
         let joined = session.fleet(join).await.map_err(|error| error.to_string())?;
         joined.map_err(|reason| reason.to_string())?;
         *self.joined_session.borrow_mut() = Some(session.name.clone());
-        self.follower.borrow_mut().joined();
+        self.follower.borrow_mut().reset_confirmations();
         let (mut reporter, mut known_list) = (Reporter::default(), 0);
         loop {
             if let Some(servers) = self.ready_servers_if_changed(&mut known_list).await? {
@@ -248,12 +248,12 @@
             }
             self.report_changes(session, &mut reporter).await?;
             let effect = self.in_effect();
-            let confirms = self.follower.borrow().confirms(&effect);
+            let confirms = self.follower.borrow().confirmable(&effect);
             let other_process_serves = self.operations.succession.as_ref().is_some_and(|s| s.accompanied());
             if !other_process_serves || self.net().since(self.effect_since.get()) >= OTHER_PROCESS_DELAY {
                 for (drain, turn) in confirms {
                     self.send(session, FleetCommand::Confirm { drain, turn }).await?;
-                    self.follower.borrow_mut().confirmed(drain, turn);
+                    self.follower.borrow_mut().record_confirmation(drain, turn);
                 }
             }
             self.net().sleep(REPORT_INTERVAL).await;
@@ -310,7 +310,7 @@
     /// left.
     fn in_effect(&self) -> Effect {
         let phase = &self.operations.phase;
-        let empty = self.follower.borrow().empties()
+        let empty = self.follower.borrow().must_drain()
             && phase.ready().is_err()
             && phase.closing()
             && self.operations.clients.pending() == 0;
--- a/crates/mothpier/src/lease_authority.rs
+++ b/crates/mothpier/src/lease_authority.rs
@@ -52,8 +52,7 @@
     /// Returns the time of the node's clock as JSON, for a lease holder that is about to give a command.
     pub fn clock(&self) -> String {
         let obeyer = self.obeyer.borrow();
-        let clock =
-            serde_json::json!({"clock": obeyer.clock(), "now_ms": self.clock_ms(), "knows": obeyer.knows()});
+        let clock = serde_json::json!({"clock": obeyer.clock(), "now_ms": self.clock_ms(), "knows": obeyer.knows_fences()});
         format!("{clock}\n")
     }
 
@@ -64,7 +63,7 @@
     /// Why the command is refused.
     pub fn obey(&self, act: &FencedAction) -> Result<(), String> {
         let now = self.clock_ms();
-        let obeyed = self.obeyer.borrow_mut().obey(act, now);
+        let obeyed = self.obeyer.borrow_mut().accept(act, now);
         if obeyed.is_ok() {
             self.store_floors();
             // Lets tools compare the time at which a command was accepted, by the machine's clock, with the
@@ -95,7 +94,7 @@
         loop {
             match self.client.leases(self.net.now() + CALL_TIMEOUT).await {
                 Ok(all) => {
-                    let first = !self.obeyer.borrow().knows();
+                    let first = !self.obeyer.borrow().knows_fences();
                     self.raise_floors(all.floors);
                     // The fences known to the previous process apply as well, once a majority has answered.
                     if let Some(before) = self.handover.as_ref().map(|s| s.floors()) {
@@ -107,7 +106,7 @@
                     self.follow(all.revision).await;
                 }
                 Err(reason) => {
-                    if !self.obeyer.borrow().knows() {
+                    if !self.obeyer.borrow().knows_fences() {
                         self.net.log(format_args!(
                             "no coordinators; commands of lease holders are refused: {reason}"
                         ));
--- a/crates/mothpierctl/src/fleet_limits.rs
+++ b/crates/mothpierctl/src/fleet_limits.rs
@@ -103,7 +103,7 @@
     }
     limits.nodes = nodes.ok_or("nodes: missing")?;
     limits.servers = servers.ok_or("servers: missing")?;
-    limits.wrong().map_or(Ok(limits), Err)
+    limits.first_problem().map_or(Ok(limits), Err)
 }
 
 /// Reads a file of limits.
--- a/crates/mothpierctl/src/fleet_shown.rs
+++ b/crates/mothpierctl/src/fleet_shown.rs
@@ -72,13 +72,13 @@
     let Some(drain) = fleet.drains.get(&number) else { return "ended".into() };
     match drain.stage {
         _ if drain.back.is_some() => "waits to come back: too many are cold".into(),
-        Stage::Asked => match (&fleet.halt, fleet.why_not(&drain.subject)) {
+        Stage::Asked => match (&fleet.halt, fleet.blocking_limit(&drain.subject)) {
             (Some(halt), _) => format!("halted by {}: {}", halt.note.by, halt.note.reason),
             (None, Some(blocked)) => blocked.to_string(),
             (None, None) => "about to be granted".into(),
         },
         Stage::Leaving => {
-            let all = fleet.waits_for(drain);
+            let all = fleet.awaited_nodes(drain);
             let silent = |name: &&String| fleet.nodes.get(*name).is_some_and(|n| n.session.is_none());
             let gone = named(all.iter().filter(silent).map(String::as_str));
             let waits = named(all.iter().filter(|n| !silent(n)).map(String::as_str));
@@ -144,7 +144,7 @@
         if fleet.drain_of(&subject).is_some() || fleet.halt.is_some() {
             continue;
         }
-        text += &match fleet.why_not(&subject) {
+        text += &match fleet.blocking_limit(&subject) {
             None => format!("{subject}: would be granted\n"),
             Some(blocked) => format!("{subject}: no: {blocked}\n"),
         };
