--- a/crates/mothpier-coordination/src/lease_validity.rs
+++ b/crates/mothpier-coordination/src/lease_validity.rs
@@ -1,62 +1,67 @@
-//! Until when a holder may act, by its own clock: one that also counts while the machine is suspended, or a laptop that
-//! wakes would believe that it still holds. It counts from before it asked, so that whatever the way took is its loss, and
-//! keeps off the end by what clocks may err and a margin.
+//! How long a lease holder may act, by its own clock. That clock must also count while the machine is
+//! suspended; otherwise a laptop that wakes up would believe that it still holds the lease. The holder
+//! counts from before it sends a renewal, so that network delay shortens its time, and stops early by the
+//! possible clock error and a safety margin.
 
-/// How far any clock may run wrong over a lease's time, in thousandths. Quartz errs by 0.2, a clock that is being slewed
-/// by 0.5; a machine whose clock runs worse must hold no leases and obey none.
-pub const CLOCK_ERROR: u64 = 5;
-/// What a holder keeps off the end of its time, in thousandths: three clocks take part, the leader's may run fast while
-/// the holder's and that of the one that obeys run slow. (1 - 0.011)(1 + 0.005) is less than 1 - 0.005.
-pub const KEPT_OFF: u64 = 2 * CLOCK_ERROR + 1;
-/// And for what lies between the look at the clock and what is done: this part of the time at the least, ...
-const MARGIN: u64 = 20;
-/// ... and never under this many ms.
-const LEAST_MARGIN_MS: u64 = 5;
+/// Maximum clock error over a session's TTL, in thousandths. Quartz clocks err by 0.2, a clock that is being
+/// slewed by 0.5. A machine with a less accurate clock must neither hold leases nor accept fenced actions.
+pub const CLOCK_ERROR_PER_MILLE: u64 = 5;
+/// Part of the TTL that a holder gives up for clock errors, in thousandths. Three clocks take part: the
+/// leader's may run fast while those of the holder and of the process that accepts its actions run slow.
+/// (1 - 0.011)(1 + 0.005) is less than 1 - 0.005.
+pub const CLOCK_GUARD_PER_MILLE: u64 = 2 * CLOCK_ERROR_PER_MILLE + 1;
+/// Safety margin for the time between reading the clock and acting, as a divisor of the TTL.
+const MARGIN_DIVISOR: u64 = 20;
+/// Lower bound of the safety margin.
+const MIN_MARGIN_MS: u64 = 5;
 
-/// A session's time as its client reckons it, in ms of the client's clock.
+/// The validity of a session as its client computes it, in ms of the client's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseValidity {
     ttl_ms: u64,
-    kept_off_ms: u64,
-    /// When the last renewal that was confirmed had been asked for.
-    asked: Option<u64>,
+    guard_ms: u64,
+    /// When the request of the last confirmed renewal was sent.
+    requested_at: Option<u64>,
 }
 
 impl LeaseValidity {
-    /// A session of a time that nobody has confirmed yet.
+    /// Creates the validity of a session that is not confirmed yet.
     pub fn new(ttl_ms: u64) -> Self {
-        let margin = (ttl_ms / MARGIN).max(LEAST_MARGIN_MS);
-        LeaseValidity::keeping_off(ttl_ms, (ttl_ms * KEPT_OFF).div_ceil(1000) + margin)
+        let margin = (ttl_ms / MARGIN_DIVISOR).max(MIN_MARGIN_MS);
+        LeaseValidity::with_guard(ttl_ms, (ttl_ms * CLOCK_GUARD_PER_MILLE).div_ceil(1000) + margin)
     }
 
-    /// One that keeps off its end by a span of its own.
-    pub fn keeping_off(ttl_ms: u64, kept_off_ms: u64) -> Self {
-        LeaseValidity { ttl_ms, kept_off_ms, asked: None }
+    /// Creates the validity of a session that stops `guard_ms` before its TTL ends.
+    pub fn with_guard(ttl_ms: u64, guard_ms: u64) -> Self {
+        LeaseValidity { ttl_ms, guard_ms, requested_at: None }
     }
 
-    /// Opening or renewing, asked for at a time, was confirmed.
-    pub fn confirmed(&mut self, asked: u64) {
-        self.asked = Some(self.asked.map_or(asked, |before| before.max(asked)));
+    /// Records that opening or renewing the session, requested at `requested_at`, was confirmed.
+    pub fn confirm_renewal(&mut self, requested_at: u64) {
+        self.requested_at =
+            Some(self.requested_at.map_or(requested_at, |previous| previous.max(requested_at)));
     }
 
-    /// Nothing may be done from this time on.
-    pub fn until(&self) -> Option<u64> {
-        self.asked.map(|asked| asked + self.ttl_ms.saturating_sub(self.kept_off_ms))
+    /// Returns the time from which on the holder must not act.
+    pub fn valid_until(&self) -> Option<u64> {
+        self.requested_at.map(|requested_at| requested_at + self.ttl_ms.saturating_sub(self.guard_ms))
     }
 
-    /// What is left of the time in which something may be done; nothing where it is over.
-    pub fn left(&self, now: u64) -> Option<u64> {
-        self.until().and_then(|until| until.checked_sub(now)).filter(|left| *left > 0)
+    /// Returns the time left in which the holder may act, or `None` if it is over.
+    pub fn remaining(&self, now: u64) -> Option<u64> {
+        self.valid_until()
+            .and_then(|valid_until| valid_until.checked_sub(now))
+            .filter(|remaining| *remaining > 0)
     }
 
-    /// When to renew next: twice more can fail before the time is over.
+    /// Returns when to renew next. Two further renewals can fail before the session is no longer valid.
     pub fn renew_at(&self) -> Option<u64> {
-        self.asked.map(|asked| asked + self.ttl_ms / 4)
+        self.requested_at.map(|requested_at| requested_at + self.ttl_ms / 4)
     }
 
-    /// From when on the holder should be warned that renewing fails.
+    /// Returns the time from which on the holder should be warned that renewing fails.
     pub fn warn_at(&self) -> Option<u64> {
-        self.asked.map(|asked| asked + self.ttl_ms / 2)
+        self.requested_at.map(|requested_at| requested_at + self.ttl_ms / 2)
     }
 }
 
--- a/crates/mothpier-coordination/src/replicated_state.rs
+++ b/crates/mothpier-coordination/src/replicated_state.rs
@@ -1,5 +1,6 @@
-//! The replicated state machine. The same commands in the same order make the same state, byte for byte, at every
-//! coordinator: there is no clock, no chance and no order but that of names in it.
+//! The replicated state machine. The same commands in the same order produce the same state, byte for byte,
+//! on every coordinator: it uses no clock, no randomness, and iterates only over collections ordered by
+//! name.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,20 +13,20 @@
 use crate::fleet::timers::Timer;
 use crate::limits;
 
-/// A client that lives.
+/// An open session of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Session {
-    /// It ends when it has not been renewed for so long.
+    /// The session expires if it is not renewed for this long.
     pub ttl_ms: u64,
-    /// How often it was renewed.
+    /// Number of renewals so far.
     pub renewals: u64,
-    /// Staff want it to end: it is renewed no more.
+    /// An operator has broken one of its leases: the session is not renewed any more.
     pub broken: bool,
-    /// Its last request and what came of it, so that the same one again changes nothing.
+    /// Number of the last request and its answer, so that a repeated request has no further effect.
     number: u64,
     answer: Option<Answer>,
-    /// Leases that it holds or waits for.
+    /// Leases that the session holds or waits for.
     leases: BTreeSet<String>,
 }
 
@@ -33,32 +34,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Lease {
-    /// The session that holds it.
+    /// The session that holds the lease.
     pub holder: SessionId,
-    /// The number of its grant.
+    /// The fence of the current grant.
     pub fence: Fence,
-    /// Who is next, in order.
+    /// Sessions that wait for the lease, in the order of their requests.
     pub waiting: VecDeque<SessionId>,
 }
 
-/// A value and the number of its last change.
+/// A stored value with the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Value {
-    /// The value.
+    /// The stored value.
     pub value: String,
-    /// The number of its last change.
+    /// Revision of the last change of the value.
     pub revision: Revision,
 }
 
-/// All that is agreed on.
+/// The whole replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicatedState {
     format: u32,
-    /// The number of the last grant of any lease.
+    /// Fence of the last grant of any lease.
     fences: Fence,
-    /// The number of the last change.
+    /// Revision of the last change.
     revision: Revision,
     sessions: BTreeMap<SessionId, Session>,
     /// Names of ended sessions, the latest last.
@@ -66,22 +67,22 @@
     leases: BTreeMap<String, Lease>,
     values: BTreeMap<String, Value>,
     value_bytes: usize,
-    /// Where each coordinator is, by its number, and the highest number that was ever one's.
+    /// Addresses of the coordinators by number, and the highest number that any coordinator ever had.
     members: BTreeMap<u64, String>,
     last_member: u64,
-    /// Nodes, cache servers and who of them is out. Format 1 had none.
+    /// Nodes, cache servers and drains. Absent in format 1.
     #[serde(default)]
     fleet: Fleet,
-    /// The last changes; the first one's number is `revision - history.len() + 1`.
+    /// The last changes; the first entry has the revision `revision - history.len() + 1`.
     history: VecDeque<Change>,
 }
 
-/// Why a state can't be taken over.
+/// Why a stored state cannot be loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Unreadable {
-    /// A newer program wrote it.
+    /// The state was written by a newer version of the program.
     Format(u32),
-    /// It is damaged, or no state at all.
+    /// The state is damaged, or is not a state at all.
     Damaged(String),
 }
 
@@ -123,60 +124,61 @@
     Answer::Refused { why }
 }
 
-fn over(limit: &str, most: usize) -> Answer {
+fn over_limit(limit: &str, most: usize) -> Answer {
     refused(Refusal::OverLimit { limit: limit.into(), most: most as u64 })
 }
 
 impl ReplicatedState {
-    /// Takes the next command of the log.
+    /// Applies the next committed command of the log.
     pub fn apply(&mut self, command: &Command) -> Answer {
         let answer = match command {
             Command::Open { session, ttl_ms } => self.open(session, *ttl_ms),
             Command::Renew { session } => self.renew(session),
-            Command::Ask { session, number, request } => self.ask(session, *number, request),
+            Command::Ask { session, number, request } => self.handle_request(session, *number, request),
             Command::Close { session } => {
-                self.end(session);
+                self.end_session(session);
                 Answer::Closed
             }
             Command::Expire { session, renewals } => match self.sessions.get(session) {
                 None => refused(Refusal::NoSession),
                 Some(s) if s.renewals != *renewals => refused(Refusal::Renewed),
                 Some(_) => {
-                    self.end(session);
+                    self.end_session(session);
                     Answer::Closed
                 }
             },
             Command::Break { lease, fence } => self.break_lease(lease, *fence),
-            Command::Due { timer } => self.due(timer),
+            Command::Due { timer } => self.timer_fired(timer),
         };
-        debug_assert!(self.is_whole());
+        debug_assert!(self.is_consistent());
         answer
     }
 
-    fn due(&mut self, timer: &Timer) -> Answer {
+    fn timer_fired(&mut self, timer: &Timer) -> Answer {
         let mut changes = Vec::new();
-        self.fleet.due(timer, &mut changes);
-        self.fleet_changed(changes);
+        self.fleet.timer_fired(timer, &mut changes);
+        self.record_fleet_changes(changes);
         Answer::Fleet { answer: crate::fleet::messages::FleetResponse::Done }
     }
 
-    fn of_fleet(&mut self, session: &str, what: &FleetCommand) -> Answer {
+    fn fleet_command(&mut self, session: &str, what: &FleetCommand) -> Answer {
         let mut changes = Vec::new();
-        let answer = self.fleet.ask(session, what, &mut changes);
-        self.fleet_changed(changes);
+        let answer = self.fleet.apply(session, what, &mut changes);
+        self.record_fleet_changes(changes);
         match answer {
             Ok(answer) => Answer::Fleet { answer },
             Err(fleet) => refused(Refusal::Fleet { fleet }),
         }
     }
 
-    fn fleet_changed(&mut self, changes: Vec<FleetChange>) {
+    fn record_fleet_changes(&mut self, changes: Vec<FleetChange>) {
         for what in changes {
-            self.changed(Change::Fleet { what });
+            self.record_change(Change::Fleet { what });
         }
     }
 
-    /// Names it and its holder's session renewals no more: nothing is taken from a holder that may still act.
+    /// Marks the session that holds the lease as broken, so that it is not renewed any more. The lease is
+    /// not taken away at once, because its holder may still act within its TTL.
     fn break_lease(&mut self, lease: &str, fence: Fence) -> Answer {
         let holder = self.leases.get(lease).filter(|l| l.fence == fence).map(|l| l.holder.clone());
         match holder.and_then(|h| self.sessions.get_mut(&h)) {
@@ -189,7 +191,7 @@
     }
 
     fn open(&mut self, session: &str, ttl_ms: u64) -> Answer {
-        let (least_ms, most_ms) = limits::TTL_MS;
+        let (least_ms, most_ms) = (limits::MIN_TTL_MS, limits::MAX_TTL_MS);
         if !limits::is_name(session) {
             return refused(Refusal::BadName);
         }
@@ -203,19 +205,19 @@
             if s.broken {
                 return refused(Refusal::BrokenByStaff);
             }
-            // Whoever asks again counts its time from the second asking: so must the leader.
+            // A client that repeats the request counts its TTL from the second one, and so must the leader.
             s.renewals += 1;
             return Answer::Opened;
         }
         if self.ended.iter().any(|e| e == session) {
             return refused(Refusal::SessionOver);
         }
-        if self.sessions.len() >= limits::SESSIONS {
-            return over("sessions", limits::SESSIONS);
+        if self.sessions.len() >= limits::MAX_SESSIONS {
+            return over_limit("sessions", limits::MAX_SESSIONS);
         }
-        let fresh =
+        let new_session =
             Session { ttl_ms, renewals: 0, broken: false, number: 0, answer: None, leases: BTreeSet::new() };
-        self.sessions.insert(session.into(), fresh);
+        self.sessions.insert(session.into(), new_session);
         Answer::Opened
     }
 
@@ -230,7 +232,7 @@
         }
     }
 
-    fn ask(&mut self, session: &str, number: u64, request: &Request) -> Answer {
+    fn handle_request(&mut self, session: &str, number: u64, request: &Request) -> Answer {
         let Some(s) = self.sessions.get(session) else { return refused(Refusal::NoSession) };
         if let Some(answer) = s.answer.clone().filter(|_| s.number == number) {
             return answer;
@@ -243,7 +245,7 @@
             Request::Release { lease } => self.release(session, lease),
             Request::Put { key, value, at } => self.put(key, value, *at),
             Request::Delete { key, at } => self.delete(key, *at),
-            Request::Fleet { what } => self.of_fleet(session, what),
+            Request::Fleet { what } => self.fleet_command(session, what),
         };
         if let Some(s) = self.sessions.get_mut(session) {
             (s.number, s.answer) = (number, Some(answer.clone()));
@@ -268,17 +270,19 @@
             if !wait {
                 return refused(Refusal::Held { by: lease.holder.clone() });
             }
-            if lease.waiting.len() >= limits::WAITING {
-                return over("sessions that wait for one lease", limits::WAITING);
+            if lease.waiting.len() >= limits::MAX_WAITERS_PER_LEASE {
+                return over_limit("sessions that wait for one lease", limits::MAX_WAITERS_PER_LEASE);
             }
-        } else if self.leases.len() >= limits::LEASES {
-            return over("leases", limits::LEASES);
-        }
-        let own = self.sessions.get_mut(session).map(|s| &mut s.leases);
-        let Some(own) = own.filter(|own| own.len() < limits::LEASES_OF_SESSION) else {
-            return over("leases of one session", limits::LEASES_OF_SESSION);
+        } else if self.leases.len() >= limits::MAX_LEASES {
+            return over_limit("leases", limits::MAX_LEASES);
+        }
+        let session_leases = self.sessions.get_mut(session).map(|s| &mut s.leases);
+        let Some(session_leases) =
+            session_leases.filter(|session_leases| session_leases.len() < limits::MAX_LEASES_PER_SESSION)
+        else {
+            return over_limit("leases of one session", limits::MAX_LEASES_PER_SESSION);
         };
-        own.insert(name.into());
+        session_leases.insert(name.into());
         match self.leases.get_mut(name) {
             Some(lease) => {
                 lease.waiting.push_back(session.into());
@@ -292,7 +296,7 @@
         self.fences += 1;
         let fence = self.fences;
         self.leases.insert(name.into(), Lease { holder: holder.clone(), fence, waiting });
-        self.changed(Change::Granted { lease: name.into(), session: holder, fence });
+        self.record_change(Change::Granted { lease: name.into(), session: holder, fence });
         fence
     }
 
@@ -300,59 +304,59 @@
         if let Some(s) = self.sessions.get_mut(session) {
             s.leases.remove(name);
         }
-        self.let_go(session, name);
+        self.give_up(session, name);
         Answer::Released
     }
 
-    /// A session holds and awaits a lease no more; the next in line holds it.
-    fn let_go(&mut self, session: &str, name: &str) {
+    /// Removes a session as holder or waiter of a lease, and grants the lease to the next waiting session.
+    fn give_up(&mut self, session: &str, name: &str) {
         let Some(lease) = self.leases.get_mut(name) else { return };
         if lease.holder != session {
             return lease.waiting.retain(|w| w != session);
         }
         let (fence, mut waiting) = (lease.fence, std::mem::take(&mut lease.waiting));
         self.leases.remove(name);
-        self.changed(Change::Ended { lease: name.into(), fence });
+        self.record_change(Change::Ended { lease: name.into(), fence });
         if let Some(next) = waiting.pop_front() {
             self.grant(name, next, waiting);
         }
     }
 
-    fn end(&mut self, session: &str) {
-        let Some(gone) = self.sessions.remove(session) else { return };
-        for lease in &gone.leases {
-            self.let_go(session, lease);
+    fn end_session(&mut self, session: &str) {
+        let Some(removed) = self.sessions.remove(session) else { return };
+        for lease in &removed.leases {
+            self.give_up(session, lease);
         }
         self.ended.push_back(session.into());
-        if self.ended.len() > limits::ENDED {
+        if self.ended.len() > limits::MAX_ENDED_SESSIONS {
             self.ended.pop_front();
         }
         let mut changes = Vec::new();
-        self.fleet.session_over(session, &mut changes);
-        self.fleet_changed(changes);
+        self.fleet.session_ended(session, &mut changes);
+        self.record_fleet_changes(changes);
     }
 
     fn put(&mut self, key: &str, value: &str, at: Option<Revision>) -> Answer {
         if !limits::is_name(key) {
             return refused(Refusal::BadName);
         }
-        if value.len() > limits::VALUE {
-            return over("bytes of a value", limits::VALUE);
+        if value.len() > limits::MAX_VALUE_BYTES {
+            return over_limit("bytes of a value", limits::MAX_VALUE_BYTES);
         }
-        let before = self.values.get(key);
-        let last = before.map_or(0, |v| v.revision);
+        let previous = self.values.get(key);
+        let last = previous.map_or(0, |v| v.revision);
         if at.is_some_and(|at| at != last) {
             return refused(Refusal::Changed { at: last });
         }
-        if before.is_none() && self.values.len() >= limits::VALUES {
-            return over("values", limits::VALUES);
+        if previous.is_none() && self.values.len() >= limits::MAX_VALUES {
+            return over_limit("values", limits::MAX_VALUES);
         }
-        let bytes = self.value_bytes - before.map_or(0, |v| v.value.len()) + value.len();
-        if bytes > limits::ALL_VALUES {
-            return over("bytes of all values", limits::ALL_VALUES);
+        let bytes = self.value_bytes - previous.map_or(0, |v| v.value.len()) + value.len();
+        if bytes > limits::MAX_TOTAL_VALUE_BYTES {
+            return over_limit("bytes of all values", limits::MAX_TOTAL_VALUE_BYTES);
         }
         self.value_bytes = bytes;
-        let revision = self.changed(Change::Put { key: key.into(), value: value.into() });
+        let revision = self.record_change(Change::Put { key: key.into(), value: value.into() });
         self.values.insert(key.into(), Value { value: value.into(), revision });
         Answer::Stored { revision }
     }
@@ -362,29 +366,29 @@
         if last == 0 || at.is_some_and(|at| at != last) {
             return refused(Refusal::Changed { at: last });
         }
-        if let Some(gone) = self.values.remove(key) {
-            self.value_bytes -= gone.value.len();
+        if let Some(removed) = self.values.remove(key) {
+            self.value_bytes -= removed.value.len();
         }
-        Answer::Deleted { revision: self.changed(Change::Deleted { key: key.into() }) }
+        Answer::Deleted { revision: self.record_change(Change::Deleted { key: key.into() }) }
     }
 
-    fn changed(&mut self, change: Change) -> Revision {
+    fn record_change(&mut self, change: Change) -> Revision {
         self.revision += 1;
         self.history.push_back(change);
-        if self.history.len() > limits::HISTORY {
+        if self.history.len() > limits::MAX_HISTORY {
             self.history.pop_front();
         }
         self.revision
     }
 
-    /// The state of a new fleet with these coordinators.
-    pub fn founded(members: BTreeMap<u64, String>) -> Self {
+    /// Returns the initial state of a new cluster with these coordinators.
+    pub fn new_cluster(members: BTreeMap<u64, String>) -> Self {
         let last_member = members.keys().next_back().copied().unwrap_or_default();
         ReplicatedState { members, last_member, ..ReplicatedState::default() }
     }
 
-    /// A coordinator is a member from now on, or no more.
-    pub fn member(&mut self, number: u64, address: Option<String>) {
+    /// Adds a coordinator or changes its address; removes it if `address` is `None`.
+    pub fn set_member(&mut self, number: u64, address: Option<String>) {
         self.last_member = self.last_member.max(number);
         match address {
             Some(address) => drop(self.members.insert(number, address)),
@@ -392,24 +396,25 @@
         }
     }
 
-    /// Where each coordinator is, by its number.
+    /// Addresses of the coordinators by number.
     pub fn members(&self) -> &BTreeMap<u64, String> {
         &self.members
     }
 
-    /// The highest number that was ever a coordinator's: a number is not used again, for its first owner may have voted.
+    /// The highest number that any coordinator ever had. Numbers are not reused, because the first owner of
+    /// a number may have voted under it.
     pub fn last_member(&self) -> u64 {
         self.last_member
     }
 
-    /// The number of the last change.
+    /// Revision of the last change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// What has changed since a change, in order; `None` where the history begins later or that change is still to come:
-    /// the watcher has to read the whole.
-    pub fn since(&self, after: Revision) -> Option<impl Iterator<Item = (Revision, &Change)>> {
+    /// Returns the changes after a revision, in order. Returns `None` if the history no longer reaches back
+    /// that far, or if the revision is still in the future; the watcher then has to read the whole state.
+    pub fn changes_since(&self, after: Revision) -> Option<impl Iterator<Item = (Revision, &Change)>> {
         let first = self.revision - self.history.len() as u64;
         (first..=self.revision).contains(&after).then(|| {
             let skipped = (after - first) as usize;
@@ -417,47 +422,47 @@
         })
     }
 
-    /// The sessions that live.
+    /// Returns the open sessions.
     pub fn sessions(&self) -> impl Iterator<Item = (&SessionId, &Session)> {
         self.sessions.iter()
     }
 
-    /// A session that lives.
+    /// Returns an open session by name.
     pub fn session(&self, name: &str) -> Option<&Session> {
         self.sessions.get(name)
     }
 
-    /// The leases that are held.
+    /// Returns the leases that are held.
     pub fn leases(&self) -> &BTreeMap<String, Lease> {
         &self.leases
     }
 
-    /// The values.
+    /// Returns the stored values.
     pub fn values(&self) -> &BTreeMap<String, Value> {
         &self.values
     }
 
-    /// Nodes, cache servers, and who of them is out.
+    /// Returns the nodes, cache servers and drains.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// What one that obeys has to know before it obeys anybody.
+    /// Returns the fences that a [`crate::FenceGuard`] needs before it may accept any action.
     pub fn floors(&self) -> FenceFloors {
         let held = self.leases.iter().map(|(name, lease)| (name.clone(), lease.fence)).collect();
         FenceFloors { others: self.fences + 1, held }
     }
 
-    /// The state as a snapshot holds it.
+    /// Serializes the state for a snapshot.
     pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Takes a state over.
+    /// Loads a state from a snapshot.
     ///
     /// # Errors
     ///
-    /// What a newer program wrote, and what is damaged.
+    /// Fails if a newer version of the program wrote the snapshot, or if it is damaged.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, Unreadable> {
         /// The one field that every format has.
         #[derive(Deserialize)]
@@ -470,24 +475,33 @@
             return Err(Unreadable::Format(format));
         }
         let mut state: ReplicatedState = serde_json::from_slice(bytes).map_err(damaged)?;
-        // What an older program wrote is whole; from now on it may hold what that one can't read.
+        // The state of an older format is complete, but from now on it may contain what an older version
+        // cannot read.
         state.format = FORMAT;
-        if state.is_whole() { Ok(state) } else { Err(Unreadable::Damaged("its parts don't fit".into())) }
-    }
-
-    /// Whether its parts fit together.
-    fn is_whole(&self) -> bool {
-        let within = self.history.len() as u64 <= self.revision
-            && self.history.len() <= limits::HISTORY
-            && self.sessions.len() <= limits::SESSIONS
-            && self.leases.len() <= limits::LEASES
-            && self.fleet.is_whole();
-        // Looked through whole only while that is cheap: the states of tests and models.
-        within
+        if state.is_consistent() {
+            Ok(state)
+        } else {
+            Err(Unreadable::Damaged("its parts are inconsistent".into()))
+        }
+    }
+
+    /// Whether the parts of the state are consistent with each other and within their limits.
+    fn is_consistent(&self) -> bool {
+        let within_limits = self.history.len() as u64 <= self.revision
+            && self.history.len() <= limits::MAX_HISTORY
+            && self.sessions.len() <= limits::MAX_SESSIONS
+            && self.leases.len() <= limits::MAX_LEASES
+            && self.fleet.is_consistent();
+        // The references between leases and sessions are checked only for the small states of tests and
+        // models, where that is cheap.
+        within_limits
             && (self.leases.len() > 64
                 || self.leases.iter().all(|(name, lease)| {
-                    let of = |s: &SessionId| self.sessions.get(s).is_some_and(|s| s.leases.contains(name));
-                    lease.fence <= self.fences && of(&lease.holder) && lease.waiting.iter().all(of)
+                    let refers_to_lease =
+                        |s: &SessionId| self.sessions.get(s).is_some_and(|s| s.leases.contains(name));
+                    lease.fence <= self.fences
+                        && refers_to_lease(&lease.holder)
+                        && lease.waiting.iter().all(refers_to_lease)
                 }))
     }
 }
--- a/crates/mothpier-coordination/src/session_expiry.rs
+++ b/crates/mothpier-coordination/src/session_expiry.rs
@@ -1,65 +1,73 @@
-//! When a leader ends a session. It counts on its own clock from when it saw the renewal committed, never from when that
-//! was asked: later than the client, so that the client's time is over first. A new leader knows no times and gives every
-//! session its whole time anew.
+//! Session expiry at the leader. The leader counts a session's TTL on its own clock from the moment it sees
+//! the renewal committed, which is later than the client's send time, so the session ends for the client
+//! first. A new leader knows no renewal times and gives every session its whole TTL again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::command::{Command, SessionId};
 
-/// The sessions' times at the leader, in ms of its own clock.
+/// Expiry times of the sessions, in ms of the leader's clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct SessionExpiry {
-    /// When each ends, and how often it had been renewed.
-    ends: BTreeMap<SessionId, (u64, u64)>,
-    /// The same in the order of their times.
-    order: BTreeSet<(u64, SessionId)>,
+    /// Expiry time and number of renewals of each session.
+    expiries: BTreeMap<SessionId, (u64, u64)>,
+    /// The same sessions, ordered by expiry time.
+    by_time: BTreeSet<(u64, SessionId)>,
 }
 
 impl SessionExpiry {
-    /// Leads from now on: all have their whole time before them.
-    pub fn lead<'a>(&mut self, now: u64, sessions: impl Iterator<Item = (&'a SessionId, u64, u64)>) {
+    /// Starts a leadership: every session gets its whole TTL from now on.
+    pub fn start_leadership<'a>(
+        &mut self,
+        now: u64,
+        sessions: impl Iterator<Item = (&'a SessionId, u64, u64)>,
+    ) {
         *self = SessionExpiry::default();
         for (session, ttl_ms, renewals) in sessions {
-            self.lives(now, session, ttl_ms, renewals);
+            self.record_renewal(now, session, ttl_ms, renewals);
         }
     }
 
-    /// A session was opened or renewed, as committed and seen just now.
-    pub fn lives(&mut self, now: u64, session: &str, ttl_ms: u64, renewals: u64) {
-        // The same renewal seen twice gives no time twice; that of a leader before counts whole.
-        if self.ends.get(session).is_some_and(|(_, known)| *known == renewals) {
+    /// Records that a session was opened or renewed, as seen committed now.
+    pub fn record_renewal(&mut self, now: u64, session: &str, ttl_ms: u64, renewals: u64) {
+        // Seeing the same renewal twice does not extend the session. Renewals committed under the previous
+        // leader were already given a whole TTL by `start_leadership`.
+        if self.expiries.get(session).is_some_and(|(_, recorded)| *recorded == renewals) {
             return;
         }
-        self.over(session);
-        self.ends.insert(session.into(), (now + ttl_ms, renewals));
-        self.order.insert((now + ttl_ms, session.into()));
+        self.remove(session);
+        self.expiries.insert(session.into(), (now + ttl_ms, renewals));
+        self.by_time.insert((now + ttl_ms, session.into()));
     }
 
-    /// A session has ended.
-    pub fn over(&mut self, session: &str) {
-        if let Some((at, _)) = self.ends.remove(session) {
-            self.order.remove(&(at, session.into()));
+    /// Removes a session that has ended.
+    pub fn remove(&mut self, session: &str) {
+        if let Some((expires_at, _)) = self.expiries.remove(session) {
+            self.by_time.remove(&(expires_at, session.into()));
         }
     }
 
-    /// When the next one ends.
-    pub fn next(&self) -> Option<u64> {
-        self.order.first().map(|(at, _)| *at)
+    /// Returns the earliest expiry time.
+    pub fn next_expiry(&self) -> Option<u64> {
+        self.by_time.first().map(|(expires_at, _)| *expires_at)
     }
 
-    /// What is left of a session's time.
-    pub fn left(&self, now: u64, session: &str) -> Option<u64> {
-        self.ends.get(session).map(|(at, _)| at.saturating_sub(now))
+    /// Returns the time until a session expires.
+    pub fn remaining_ms(&self, now: u64, session: &str) -> Option<u64> {
+        self.expiries.get(session).map(|(expires_at, _)| expires_at.saturating_sub(now))
     }
 
-    /// Proposes the end of those whose time is over. They are asked for again after a pause: a proposal may be lost.
-    pub fn due(&mut self, now: u64, pause: u64) -> Vec<Command> {
+    /// Returns commands to expire the sessions whose time is over. They are returned again after
+    /// `retry_delay`, because a proposal may be lost.
+    pub fn take_due(&mut self, now: u64, retry_delay: u64) -> Vec<Command> {
         let mut commands = Vec::new();
-        while let Some((at, session)) = self.order.first().cloned().filter(|(at, _)| *at <= now) {
-            self.order.remove(&(at, session.clone()));
-            if let Some((ends, renewals)) = self.ends.get_mut(&session) {
-                *ends = now + pause;
-                self.order.insert((now + pause, session.clone()));
+        while let Some((expires_at, session)) =
+            self.by_time.first().cloned().filter(|(expires_at, _)| *expires_at <= now)
+        {
+            self.by_time.remove(&(expires_at, session.clone()));
+            if let Some((expiry, renewals)) = self.expiries.get_mut(&session) {
+                *expiry = now + retry_delay;
+                self.by_time.insert((now + retry_delay, session.clone()));
                 commands.push(Command::Expire { session, renewals: *renewals });
             }
         }
