--- a/crates/mothpier/tests/cluster.rs
+++ b/crates/mothpier/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! Slot-aware clients at the node: client libraries that learn the map and follow it, and plain clients that see none
-//! of it.
+//! Slot-aware clients of the node: client libraries that fetch the slot map and follow it, and plain clients
+//! that never see it.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::time::Instant;
@@ -10,20 +10,20 @@
 use fred::types::{ClusterHash, CustomCommand};
 use mothpier_world::loopback::*;
 
-/// Free addresses, each on a port of its own.
-fn free(count: usize) -> Vec<SocketAddr> {
-    let held: Vec<TcpListener> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
-    held.iter().map(|l| l.local_addr().unwrap()).collect()
+/// Returns free addresses with distinct ports.
+fn free_addresses(count: usize) -> Vec<SocketAddr> {
+    let listeners: Vec<TcpListener> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+    listeners.iter().map(|l| l.local_addr().unwrap()).collect()
 }
 
-/// Two nodes of one tier. Each has a box of its own that names its node in every value, so that it shows at which node
-/// a request came in.
-fn tier(name: &str) -> Vec<(Node, Discovery, SocketAddr)> {
-    let addresses = free(2);
+/// Starts two nodes of one tier. Each has its own cache server, which returns the node's name in every value,
+/// so that a test sees which node received a request.
+fn start_tier(name: &str) -> Vec<(Node, Discovery, SocketAddr)> {
+    let addresses = free_addresses(2);
     let file = config_path(&format!("{name}-cluster"));
-    let held = [0; 2].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
-    let peers = held.each_ref().map(|s| s.local_addr().unwrap());
-    drop(held);
+    let peer_sockets = [0; 2].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
+    let peers = peer_sockets.each_ref().map(|s| s.local_addr().unwrap());
+    drop(peer_sockets);
     let listed: Vec<String> = addresses.iter().map(|a| format!("\"{a}\"")).collect();
     std::fs::write(&file, format!(r#"{{"nodes":[{}]}}"#, listed.join(","))).unwrap();
     let start = |(number, address): (usize, &SocketAddr)| {
@@ -51,8 +51,8 @@
     addresses.iter().enumerate().map(start).collect()
 }
 
-/// Keys, and the node that is shown as the owner of each one's slot.
-fn keys() -> impl Iterator<Item = (String, usize)> {
+/// Returns keys, each with the number of the node that the map names as the owner of its slot.
+fn keys_with_owners() -> impl Iterator<Item = (String, usize)> {
     (0..40).map(|n| {
         let key = format!("key{n}");
         let owner = usize::from(mothpier_slots::slot_of(key.as_bytes()) >= mothpier_slots::SLOTS / 2);
@@ -60,13 +60,14 @@
     })
 }
 
+/// The `redis` crate must accept the slot map of the node and route reads and writes by it.
 #[test]
-fn redis_rs_learns_the_map_and_asks_each_key_at_its_owner() {
-    let tier = tier("redis-rs");
+fn redis_rs_learns_the_map_and_sends_each_key_to_its_owner() {
+    let tier = start_tier("redis-rs");
     let client = redis::cluster::ClusterClient::new(vec![format!("redis://{}", tier[0].2)]).unwrap();
     let mut connection = client.get_connection().unwrap();
-    let mut met = [0; 2];
-    for (n, (key, owner)) in keys().enumerate() {
+    let mut requests_by_owner = [0; 2];
+    for (n, (key, owner)) in keys_with_owners().enumerate() {
         let mut get = redis::cmd("CACHE.GET");
         get.arg(&key).arg(format!("g{n}")).arg("c=read,t=acme,d=9000");
         let value: String = get.query(&mut connection).unwrap();
@@ -75,22 +76,23 @@
         set.arg(&key).arg(format!("s{n}")).arg("c=once,t=acme,d=9000").arg("new");
         let value: String = set.query(&mut connection).unwrap();
         assert_eq!(value, format!("written{owner}"), "{key}");
-        met[owner] += 1;
+        requests_by_owner[owner] += 1;
     }
-    assert!(met.iter().all(|m| *m > 0), "{met:?}");
+    assert!(requests_by_owner.iter().all(|m| *m > 0), "{requests_by_owner:?}");
 }
 
+/// The `fred` crate must accept the slot map of the node and route reads and writes by it.
 #[test]
-fn fred_learns_the_map_and_asks_each_key_at_its_owner() {
-    let tier = tier("fred");
+fn fred_learns_the_map_and_sends_each_key_to_its_owner() {
+    let tier = start_tier("fred");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let first = tier[0].2;
         let server = ServerConfig::new_clustered(vec![(first.ip().to_string(), first.port())]);
         let client = FredClient::new(FredConfig { server, ..FredConfig::default() }, None, None, None);
         let _driver = client.init().await.unwrap();
-        let mut met = [0; 2];
-        for (n, (key, owner)) in keys().enumerate() {
+        let mut requests_by_owner = [0; 2];
+        for (n, (key, owner)) in keys_with_owners().enumerate() {
             let get = CustomCommand::new_static("CACHE.GET", ClusterHash::FirstKey, false);
             let words = vec![key.clone(), format!("g{n}"), "c=read,t=acme,d=9000".into()];
             let value: String = client.custom(get, words).await.unwrap();
@@ -99,43 +101,45 @@
             let words = vec![key.clone(), format!("s{n}"), "c=once,t=acme,d=9000".into(), "new".into()];
             let value: String = client.custom(set, words).await.unwrap();
             assert_eq!(value, format!("written{owner}"), "{key}");
-            met[owner] += 1;
+            requests_by_owner[owner] += 1;
         }
-        assert!(met.iter().all(|m| *m > 0), "{met:?}");
+        assert!(requests_by_owner.iter().all(|m| *m > 0), "{requests_by_owner:?}");
         client.quit().await.unwrap();
     });
 }
 
-/// What a node shows of the tier, once it shows that another does not run.
-fn shown_without(node: &Node, gone: SocketAddr) -> Vec<String> {
-    let since = Instant::now();
+/// Returns the lines of the node's `CLUSTER NODES` once they mark another node as failed.
+fn nodes_once_failed(node: &Node, failed: SocketAddr) -> Vec<String> {
+    let started_at = Instant::now();
     let mut client = node.client();
-    while since.elapsed() < HUNG {
+    while started_at.elapsed() < HUNG {
         let lines: Vec<String> = client.ask(&["CLUSTER", "NODES"]).lines().map(str::to_owned).collect();
-        if lines.iter().any(|l| l.contains(&format!("{gone}@0 master,fail"))) {
+        if lines.iter().any(|l| l.contains(&format!("{failed}@0 master,fail"))) {
             return lines;
         }
     }
-    panic!("{gone} is shown as running still");
+    panic!("{failed} is not marked as failed");
 }
 
+/// Slot-aware clients would go on sending to the lost node if the map still named it as an owner.
 #[test]
-fn a_node_that_stops_or_dies_hands_its_slots_over() {
+fn the_slots_of_a_node_that_stops_or_dies_move_to_the_other_node() {
     for signal in ["TERM", "KILL"] {
-        let tier = tier(&format!("hands-over-{signal}"));
-        let (left, stays) = (&tier[0], &tier[1]);
-        left.0.signal(signal);
-        let lines = shown_without(&stays.0, left.2);
+        let tier = start_tier(&format!("hands-over-{signal}"));
+        let (lost, remaining) = (&tier[0], &tier[1]);
+        lost.0.signal(signal);
+        let lines = nodes_once_failed(&remaining.0, lost.2);
         let own = lines.iter().find(|l| l.contains("myself")).unwrap();
         assert!(own.ends_with(" connected 0-16383"), "{lines:?}");
     }
 }
 
-/// A node keeps no slots of its own: a key at the node that is not shown as its owner is served there, never sent on.
+/// Nodes store no data, so a node also serves keys whose slot the map assigns to another node; it neither
+/// redirects nor forwards them.
 #[test]
 fn a_request_at_the_wrong_node_is_served() {
-    let tier = tier("wrong");
-    for (n, (key, _)) in keys().take(8).enumerate() {
+    let tier = start_tier("wrong");
+    for (n, (key, _)) in keys_with_owners().take(8).enumerate() {
         for (number, (node, ..)) in tier.iter().enumerate() {
             let id = format!("w{n}-{number}");
             let answer = node.client().ask(&["CACHE.GET", &key, &id, "c=read,t=acme,d=9000"]);
@@ -144,8 +148,10 @@
     }
 }
 
+/// A map of 1000 nodes is long: a client that requests many and reads none must not fill the memory of the
+/// node.
 #[test]
-fn a_client_that_asks_for_long_maps_without_reading_is_cut_off() {
+fn a_client_that_requests_long_maps_without_reading_is_cut_off() {
     let discovery = Discovery::start("");
     let nodes: Vec<String> =
         (0..1000).map(|n| format!("\"10.0.{}.{}:6379\"", n / 200, n % 200 + 1)).collect();
@@ -158,7 +164,7 @@
     command.env("MOTHPIER_CLUSTER", &file);
     let node = Node::run(command, &discovery);
     let mut client = node.client();
-    // In one write: all are read before any is answered.
+    // In one write, so that the node reads all of them before it answers the first.
     client.write("*2\r\n$7\r\nCLUSTER\r\n$5\r\nNODES\r\n".repeat(64));
     let mut maps = 0;
     let last = loop {
@@ -173,8 +179,9 @@
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
 }
 
+/// Client libraries send these commands when they connect, also to a node that has no slot map.
 #[test]
-fn a_plain_node_answers_what_clients_send_as_they_connect_and_has_no_slots() {
+fn a_node_without_a_cluster_file_answers_connection_commands_and_has_no_slots() {
     let discovery = Discovery::start(&member("s-1", serve(command, |_| array("v")), "m", "ready"));
     let node = Node::start("plain", &discovery);
     let mut client = node.client();
@@ -193,53 +200,56 @@
     }
 }
 
-/// The first command of the most used library, and the only one that changes what follows it.
+/// Client libraries send `HELLO` first, which changes the protocol version of all later answers: in a
+/// pipeline, the answers to earlier commands must keep the old version.
 #[test]
-fn a_switch_of_the_version_in_a_pipeline_holds_from_its_place_on() {
+fn a_protocol_version_switch_in_a_pipeline_applies_from_its_position_on() {
     let discovery = Discovery::start(&member("s-1", serve(command, |_| array("v")), "m", "ready"));
     let node = Node::start("versions", &discovery);
     let mut client = node.client();
-    let word = |words: &[&str]| {
-        let all: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
-        format!("*{}\r\n{all}", words.len())
+    let encode = |arguments: &[&str]| {
+        let bulk_strings: String = arguments.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
+        format!("*{}\r\n{bulk_strings}", arguments.len())
     };
-    let get = |id: &str| word(&["CACHE.GET", "k", id, "c=read,t=acme,d=9000"]);
-    let name = word(&["CLIENT", "GETNAME"]);
-    let (three, two) = (word(&["HELLO", "3"]), word(&["HELLO", "2"]));
-    let bad = word(&["HELLO", "3", "AUTH", "a", "b"]);
-    // In one write: all are read before the first is answered.
+    let get = |id: &str| encode(&["CACHE.GET", "k", id, "c=read,t=acme,d=9000"]);
+    let name = encode(&["CLIENT", "GETNAME"]);
+    let (version_3, version_2) = (encode(&["HELLO", "3"]), encode(&["HELLO", "2"]));
+    let bad_hello = encode(&["HELLO", "3", "AUTH", "a", "b"]);
+    // In one write, so that the node reads all of them before it answers the first.
     client.write(
-        [&get("1"), &name, &three, &get("2"), &name, &two, &bad, &name, &get("3")]
+        [&get("1"), &name, &version_3, &get("2"), &name, &version_2, &bad_hello, &name, &get("3")]
             .map(|s| s.as_str())
             .concat(),
     );
-    let mut skip = |answers: &[&str], then: usize| {
+    let mut expect = |answers: &[&str], skipped: usize| {
         for answer in answers {
             assert_eq!(client.answer(), *answer);
         }
-        (0..then).for_each(|_| drop(client.answer()));
+        (0..skipped).for_each(|_| drop(client.answer()));
     };
-    skip(&["$v", "$-1", "%7"], 14);
-    skip(&["$v", "_", "*14"], 14);
-    skip(&["-ERR AUTH called without any password configured for the default user: leave it out"], 0);
-    skip(&["$-1", "$v"], 0);
-    // What no client may send ends the connection, in any version: aggregates of RESP3, streams, and depth.
-    for bad in
+    expect(&["$v", "$-1", "%7"], 14);
+    expect(&["$v", "_", "*14"], 14);
+    expect(&["-ERR AUTH called without any password configured for the default user: leave it out"], 0);
+    expect(&["$-1", "$v"], 0);
+    // Input that no client may send closes the connection in any version: RESP3 aggregates, streamed types,
+    // deep nesting.
+    for invalid in
         [">2\r\n+a\r\n+b\r\n", "%2147483648\r\n", "*?\r\n", ",1.5\r\n", "|1\r\n", &"*1\r\n".repeat(10_000)]
     {
         let mut client = node.client();
         assert_eq!(client.ask(&["HELLO", "3"]), "%7");
         (0..14).for_each(|_| drop(client.answer()));
-        client.write(bad);
-        let said = client.answer();
-        assert!(said.starts_with("-ERR protocol"), "{bad:.10}: {said}");
+        client.write(invalid);
+        let message = client.answer();
+        assert!(message.starts_with("-ERR protocol"), "{invalid:.10}: {message}");
         assert_eq!(client.answer(), "end");
     }
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
 }
 
+/// A node that started with an invalid cluster file would give clients a map that they cannot follow.
 #[test]
-fn a_bad_file_of_nodes_is_refused_at_the_start_with_its_cause() {
+fn a_bad_cluster_file_is_refused_at_the_start_with_its_cause() {
     let discovery = Discovery::start("");
     for (n, (text, cause)) in [
         ("{\"nodes\":[]}", "0 listed, but the settings have 1 balancers"),
@@ -256,7 +266,7 @@
         std::fs::write(&file, text).unwrap();
         let mut command = node_command(&name, discovery.address, 1024, "");
         let output = command.env("MOTHPIER_CLUSTER", &file).output().unwrap();
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && said.contains(cause), "{text}: {said}");
+        let message = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success() && message.contains(cause), "{text}: {message}");
     }
 }
--- a/crates/mothpier/tests/node.rs
+++ b/crates/mothpier/tests/node.rs
@@ -1,4 +1,5 @@
-//! The node as a process, over loopback sockets: what would cost a request, an effect or the node itself.
+//! The node as a process, over loopback sockets: faults that could lose a request, repeat an effect or end
+//! the node.
 #![allow(missing_docs)]
 
 use std::io::{BufReader, Read, Write};
@@ -9,72 +10,78 @@
 
 use mothpier_world::loopback::*;
 
-/// Something asked of a server, given on to the test.
-fn report(to: std::sync::mpsc::Sender<Vec<String>>) -> impl Fn(&[String]) + Send + Sync + Clone {
-    let to = std::sync::Arc::new(Mutex::new(to));
-    move |asked| to.lock().unwrap().send(asked.to_vec()).unwrap_or_default()
+/// Returns a handler that passes each request of a stand-in server on to the test.
+fn recorder(requests: std::sync::mpsc::Sender<Vec<String>>) -> impl Fn(&[String]) + Send + Sync + Clone {
+    let requests = std::sync::Arc::new(Mutex::new(requests));
+    move |request| requests.lock().unwrap().send(request.to_vec()).unwrap_or_default()
 }
 
-/// A cache server that answers a command only when the test lets it: its address, the commands that have come, and
-/// the word to go on.
-fn held(
+/// Starts a cache server that answers one command for each permit that the test sends. Returns its address,
+/// the commands that it received and the sender of permits.
+fn gated_server(
     value: impl Fn(&[String]) -> String + Send + Sync + 'static,
 ) -> (SocketAddr, Receiver<Vec<String>>, Sender<()>) {
-    let (arrived, commands) = channel();
-    let (go, wait) = channel::<()>();
-    let (arrived, wait) = (report(arrived), Mutex::new(wait));
-    let server = serve(command, move |asked| {
-        arrived(asked);
-        let _ = wait.lock().unwrap().recv();
-        array(&value(asked))
+    let (command_sender, commands) = channel();
+    let (permit, permits) = channel::<()>();
+    let (record_command, permits) = (recorder(command_sender), Mutex::new(permits));
+    let server = serve(command, move |request| {
+        record_command(request);
+        let _ = permits.lock().unwrap().recv();
+        array(&value(request))
     });
-    (server, commands, go)
+    (server, commands, permit)
 }
 
+/// Each attempt carries the time that is left of the deadline (`d=`) and every other field as the client sent
+/// it. A write goes to the origin alone.
 #[test]
-fn a_miss_is_fetched_and_the_command_goes_on_unchanged_but_for_the_wait() {
-    let (seen, commands) = channel();
-    let (called, calls) = channel();
-    let (seen, called) = (report(seen), report(called));
-    let server = serve(command, move |asked| {
-        seen(asked);
+fn a_miss_is_fetched_and_forwarded_unchanged_but_for_the_remaining_time() {
+    let (command_sender, commands) = channel();
+    let (call_sender, calls) = channel();
+    let (record_command, record_call) = (recorder(command_sender), recorder(call_sender));
+    let server = serve(command, move |request| {
+        record_command(request);
         miss()
     });
-    let origin = serve(call, move |asked| {
-        called(asked);
+    let origin = serve(call, move |request| {
+        record_call(request);
         http("200 OK", "value")
     });
     let members = [member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")].join(",");
     let node = Node::start("miss", &Discovery::start(&members));
     let mut client = node.client();
     assert_eq!(client.ask(&["CACHE.GET", "7f3a9c21e0b4d655", "9b1f", "c=read,t=acme,d=9000,x=y"]), "$value");
-    let asked = commands.recv_timeout(HUNG).unwrap();
-    assert_eq!(asked[..3], ["CACHE.GET", "7f3a9c21e0b4d655", "9b1f"]);
-    // What is left, which is less with every further attempt; the rest of the list as it came, in its order.
-    let left = |extras: &str| -> u32 {
-        let (wait, rest) = extras.strip_prefix("c=read,t=acme,d=").unwrap().split_once(',').unwrap();
+    let request = commands.recv_timeout(HUNG).unwrap();
+    assert_eq!(request[..3], ["CACHE.GET", "7f3a9c21e0b4d655", "9b1f"]);
+    // Returns the remaining milliseconds, and checks that the other fields keep their values and order.
+    let remaining = |extras: &str| -> u32 {
+        let (milliseconds, rest) = extras.strip_prefix("c=read,t=acme,d=").unwrap().split_once(',').unwrap();
         assert_eq!(rest, "x=y");
-        wait.parse().unwrap()
+        milliseconds.parse().unwrap()
     };
-    let left_first = left(&asked[3]);
-    assert!((1..=9000).contains(&left_first), "{left_first}");
-    let fetch = calls.recv_timeout(HUNG).unwrap();
-    assert_eq!(fetch[0], "GET /7f3a9c21e0b4d655 HTTP/1.1");
-    assert!(fetch.contains(&"x-request-id: 9b1f".to_owned()), "{fetch:?}");
-    let extras = fetch.iter().find_map(|line| line.strip_prefix("x-extras: ")).unwrap();
-    assert!((1..=left_first).contains(&left(extras)), "{extras}, {left_first} ms were left before");
+    let remaining_before_cache = remaining(&request[3]);
+    assert!((1..=9000).contains(&remaining_before_cache), "{remaining_before_cache}");
+    let origin_call = calls.recv_timeout(HUNG).unwrap();
+    assert_eq!(origin_call[0], "GET /7f3a9c21e0b4d655 HTTP/1.1");
+    assert!(origin_call.contains(&"x-request-id: 9b1f".to_owned()), "{origin_call:?}");
+    let extras = origin_call.iter().find_map(|line| line.strip_prefix("x-extras: ")).unwrap();
+    assert!(
+        (1..=remaining_before_cache).contains(&remaining(extras)),
+        "{extras}, {remaining_before_cache} ms were left for the cache attempt"
+    );
     assert_eq!(client.ask(&["CACHE.SET", "k1", "a2", "c=once,t=acme,d=9000,k=77", "new"]), "$value");
     let write = calls.recv_timeout(HUNG).unwrap();
     assert_eq!((write[0].as_str(), write.last().unwrap().as_str()), ("PUT /k1 HTTP/1.1", "new"));
     assert!(commands.try_recv().is_err(), "a write went to a cache server");
 }
 
+/// Guards against lost, doubled or swapped answers when commands arrive in one batch, cut at arbitrary bytes.
 #[test]
-fn pipelined_commands_get_one_answer_each_in_their_order() {
-    let server = serve(command, |asked| array(&asked[2]));
+fn pipelined_commands_get_one_answer_each_in_order() {
+    let server = serve(command, |request| array(&request[2]));
     let node = Node::start("pipeline", &Discovery::start(&member("s-1", server, "m", "ready")));
     let mut client = node.client();
-    // So many at once as the module takes before it has seen the server answer.
+    // Four at once: what the policy sends to a server before its first answer.
     for batch in 0..40 {
         let mut all = String::new();
         for i in batch * 4..batch * 4 + 4 {
@@ -83,28 +90,30 @@
             all += &format!("*4\r\n$9\r\nCACHE.GET\r\n${k}\r\n{key}\r\n${i}\r\n{id}\r\n");
             all += "$20\r\nc=read,t=acme,d=9000\r\n";
         }
-        // Cut anywhere, as a network would.
+        // Cut at arbitrary bytes, as on a network.
         all.as_bytes().chunks(97).for_each(|part| client.write(part));
         for i in batch * 4..batch * 4 + 4 {
             assert_eq!(client.answer(), format!("$id{i}"));
         }
     }
-    assert_eq!(client.ask(&["PING"]), "+PONG", "an answer too many");
+    assert_eq!(client.ask(&["PING"]), "+PONG", "an extra answer came");
 }
 
+/// After a reset it is unknown whether the write ran, so a retry could apply it twice.
 #[test]
-fn a_write_is_not_sent_again_after_a_reset() {
-    let (called, calls) = channel();
-    let called = report(called);
-    let origin = serve(call, move |asked| {
-        called(asked);
-        if asked[0].starts_with("GET /warm") { http("200 OK", "v") } else { Reaction::Reset }
+fn a_write_is_not_retried_after_a_connection_reset() {
+    let (call_sender, calls) = channel();
+    let record_call = recorder(call_sender);
+    let origin = serve(call, move |request| {
+        record_call(request);
+        if request[0].starts_with("GET /warm") { http("200 OK", "v") } else { Reaction::Reset }
     });
     let server = serve(command, |_| miss());
     let members = [member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")].join(",");
     let node = Node::start("reset", &Discovery::start(&members));
     let mut client = node.client();
-    // On a connection that was used before, too: there a library might take the reset for a stale one.
+    // The first write goes over a reused connection, where an HTTP library may take the reset for a stale
+    // connection and retry by itself.
     assert_eq!(client.ask(&["CACHE.GET", "warm", "r0", "c=read,t=acme,d=9000"]), "$v");
     for id in ["w1", "w2"] {
         assert_eq!(client.ask(&["CACHE.SET", "k", id, "c=once,t=acme,d=9000,k=5", "v"]), "-ERR failed");
@@ -113,26 +122,28 @@
     assert_eq!(all, ["GET /warm HTTP/1.1", "PUT /k HTTP/1.1", "PUT /k HTTP/1.1"]);
 }
 
+/// The origin marks its 503 with `X-Not-Run`: the client must get a retry delay, not a plain failure.
 #[test]
-fn what_never_ran_is_refused_with_a_time_to_come_back() {
+fn a_request_that_never_ran_is_refused_with_a_retry_delay() {
     let origin = serve(call, |_| {
         Reaction::Answer(b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n".to_vec())
     });
     let node = Node::start("refused", &Discovery::start(&member("o-1", origin, "origin", "ready")));
     let answer = node.client().ask(&["CACHE.SET", "k", "w1", "c=once,t=acme,d=9000", "v"]);
-    let wait = answer.strip_prefix("-BUSY ").unwrap_or_else(|| panic!("{answer}"));
-    assert!((1..=600).contains(&wait.parse::<u32>().unwrap()), "{wait}");
+    let retry_after = answer.strip_prefix("-BUSY ").unwrap_or_else(|| panic!("{answer}"));
+    assert!((1..=600).contains(&retry_after.parse::<u32>().unwrap()), "{retry_after}");
 }
 
-/// One line of a list that can't be read must not take the others with it: what they say counts as told.
+/// One unreadable entry of a server list must not discard the others: the drain and the servers that they
+/// name take effect.
 #[test]
-fn a_list_with_lines_that_cannot_be_read_is_taken_for_what_the_others_say() {
-    let (seen, commands) = channel();
-    let seen = report(seen);
+fn unreadable_list_entries_do_not_discard_the_readable_ones() {
+    let (command_sender, commands) = channel();
+    let record_command = recorder(command_sender);
     let [one, two, three] = ["one", "two", "three"].map(|name| {
-        let seen = seen.clone();
-        serve(command, move |asked| {
-            seen(&[name.to_owned(), asked[2].clone()]);
+        let record_command = record_command.clone();
+        serve(command, move |request| {
+            record_command(&[name.to_owned(), request[2].clone()]);
             array(name)
         })
     });
@@ -143,9 +154,9 @@
     let mut ask =
         |i: u32| client.ask(&["CACHE.GET", &format!("k{i}"), &format!("i{i}"), "c=read,t=acme,d=9000"]);
     (0..60).for_each(|i| assert!(ask(i).starts_with('$')));
-    let of =
+    let count_for =
         |name: &str, commands: &Receiver<Vec<String>>| commands.try_iter().filter(|c| c[0] == name).count();
-    assert!(of("one", &commands) > 0, "no key belongs to the first server");
+    assert!(count_for("one", &commands) > 0, "no key belongs to the first server");
     let odd = ready("s-2", two).replace("\"cell\":0", "\"cell\":\"none\"");
     let lines = ["7", "null", "{}", r#"{"id":4,"phase":"ready"}"#, r#"{"phase":"ready"}"#].join(",");
     discovery.change(2, &[lines, member("s-1", one, "m", "draining"), odd, ready("s-3", three)].join(","));
@@ -155,12 +166,13 @@
     assert!(commands.try_iter().all(|c| c[0] == "three"));
 }
 
+/// Once the list marks a server as draining, requests for its keys go to another server.
 #[test]
-fn a_server_told_to_drain_gets_nothing_new() {
-    let (drained, commands) = channel();
-    let drained = report(drained);
-    let one = serve(command, move |asked| {
-        drained(asked);
+fn a_draining_server_gets_no_new_requests() {
+    let (command_sender, commands) = channel();
+    let record_drained = recorder(command_sender);
+    let one = serve(command, move |request| {
+        record_drained(request);
         array("one")
     });
     let two = serve(command, |_| array("two"));
@@ -179,10 +191,12 @@
     assert_eq!(commands.try_iter().count(), 0);
 }
 
+/// A server that never answers one command costs that request alone: later requests to the server get their
+/// own answers.
 #[test]
-fn an_attempt_given_up_does_not_break_others_and_a_hung_server_costs_a_refusal() {
+fn an_abandoned_attempt_does_not_break_others_and_a_hung_server_costs_one_refusal() {
     let server =
-        serve(command, |asked| if asked[1] == "hung" { Reaction::Silence } else { array(&asked[2]) });
+        serve(command, |request| if request[1] == "hung" { Reaction::Silence } else { array(&request[2]) });
     let node = Node::start("hung", &Discovery::start(&member("s-1", server, "m", "ready")));
     let mut client = node.client();
     client.send(&["CACHE.GET", "hung", "i1", "c=brief,t=acme,d=300"]);
@@ -192,8 +206,9 @@
     assert_eq!(other.ask(&["CACHE.GET", "good", "i3", "c=read,t=acme,d=9000"]), "$i3");
 }
 
+/// A server that answers in another protocol must not end the node or the client connection.
 #[test]
-fn garbage_from_a_server_ends_its_connection_only() {
+fn garbage_from_a_server_closes_only_its_connection() {
     let bad = serve(command, |_| Reaction::Answer(b"HTTP/1.1 400 what\r\n\r\n".to_vec()));
     let node = Node::start("garbage", &Discovery::start(&member("s-1", bad, "m", "ready")));
     let mut client = node.client();
@@ -204,11 +219,13 @@
     assert_eq!(client.ask(&["PING"]), "+PONG");
 }
 
+/// Invalid commands get an error on a connection that stays open; bytes outside the protocol get an error and
+/// a close. Neither affects other clients.
 #[test]
-fn bad_input_is_answered_and_ends_at_most_its_connection() {
+fn bad_client_input_gets_an_error_and_closes_at_most_its_connection() {
     let node = Node::start("input", &Discovery::start(""));
     let mut client = node.client();
-    for words in [
+    for arguments in [
         &["NO.SUCH", "k"][..],
         &["CACHE.GET", "k", "i", "c=nothing,t=acme,d=9"],
         &["CACHE.GET", "k", "i", "c=read,t=nobody,d=9"],
@@ -217,7 +234,7 @@
         &["CACHE.GET", "k"],
         &["CACHE.SET", "k", "i", "c=once,t=acme,d=9"],
     ] {
-        assert!(client.ask(words).starts_with("-ERR"), "{words:?}");
+        assert!(client.ask(arguments).starts_with("-ERR"), "{arguments:?}");
     }
     assert_eq!(client.ask(&["ping"]), "+PONG");
     for bytes in [
@@ -234,109 +251,119 @@
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
 }
 
+/// An invalid or missing configuration file ends the start with one line on standard error, not with a panic.
 #[test]
-fn bad_configuration_is_one_plain_line() {
+fn a_bad_configuration_is_reported_in_one_line() {
     let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut command = node_command("config", nowhere, 3, "");
-    let ended = command.stderr(Stdio::piped()).spawn().unwrap().wait_with_output().unwrap();
-    assert!(!ended.status.success());
-    assert_eq!(String::from_utf8_lossy(&ended.stderr).lines().count(), 1);
-    let ended = command.env("ROUTER_CONFIG", "/nowhere").spawn().unwrap().wait_with_output().unwrap();
-    assert!(!ended.status.success());
-    assert_eq!(String::from_utf8_lossy(&ended.stderr).lines().count(), 1);
+    let output = command.stderr(Stdio::piped()).spawn().unwrap().wait_with_output().unwrap();
+    assert!(!output.status.success());
+    assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 1);
+    let output = command.env("ROUTER_CONFIG", "/nowhere").spawn().unwrap().wait_with_output().unwrap();
+    assert!(!output.status.success());
+    assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 1);
 }
 
+/// Idle connections must not keep new clients out: the node closes the longest idle one, at its own limit and
+/// when the process may open no more descriptors.
 #[test]
-fn idle_clients_give_way_at_the_limit_and_when_descriptors_run_out() {
+fn idle_clients_are_closed_at_the_connection_limit_and_when_descriptors_run_out() {
     for (name, sockets, before) in [("limit", 64, ""), ("emfile", 1024, "ulimit -n 40;")] {
         let mut node = Node::start_with(name, &Discovery::start(""), sockets, before);
         let mut clients: Vec<Client> = Vec::new();
         for _ in 0..120 {
             let mut client = node.client();
-            assert_eq!(client.ask(&["PING"]), "+PONG", "{name}: {} before it", clients.len());
+            assert_eq!(client.ask(&["PING"]), "+PONG", "{name}: {} clients before it", clients.len());
             clients.push(client);
         }
-        assert_eq!(clients[0].answer(), "end", "{name}: the longest idle one is closed");
+        assert_eq!(clients[0].answer(), "end", "{name}: the longest idle connection is closed");
         assert!(node.child.try_wait().unwrap().is_none());
     }
 }
 
+/// A shutdown must not lose a request: open ones are answered, new clients are served for a while, idle
+/// connections close.
 #[test]
-fn sigterm_lets_it_finish_what_it_took() {
-    let (server, commands, go) = held(|_| "late".into());
+fn sigterm_lets_accepted_requests_finish() {
+    let (server, commands, permit) = gated_server(|_| "late".into());
     let mut node = Node::start("sigterm", &Discovery::start(&member("s-1", server, "m", "ready")));
     let (mut idle, mut client) = (node.client(), node.client());
     assert_eq!(idle.ask(&["PING"]), "+PONG");
     client.send(&["CACHE.GET", "k", "i1", "c=read,t=acme,d=9000"]);
     commands.recv_timeout(HUNG).unwrap();
     node.signal("TERM");
-    // Clients go on coming for a while, and may use what they have.
+    // New clients are still accepted for a while.
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
     assert_eq!(idle.answer(), "end", "closed between requests");
-    go.send(()).unwrap();
+    permit.send(()).unwrap();
     assert_eq!(client.answer(), "$late");
     assert_eq!(client.answer(), "end");
     assert!(node.ended().success());
 }
 
+/// A discovery service that accepts and never answers: the call times out and the node connects again.
 #[test]
-fn a_silent_agent_does_not_hang_the_watch() {
+fn a_silent_discovery_service_does_not_hang_the_watch() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let mut child = node_command("silent", address, 1024, "").stderr(Stdio::null()).spawn().unwrap();
-    // The first connection stays open and silent: the node must come with another.
+    // The first connection stays open and silent: the node must open another.
     let (mut first, _) = listener.accept().unwrap();
     let _second = listener.accept().unwrap();
-    let mut asked = Vec::new();
-    first.read_to_end(&mut asked).unwrap();
-    assert!(asked.starts_with(b"GET /api/targets"), "the first call was given up, and its connection closed");
+    let mut request = Vec::new();
+    first.read_to_end(&mut request).unwrap();
+    assert!(request.starts_with(b"GET /api/targets"), "expected one call to /api/targets and then a close");
     child.kill().unwrap();
     child.wait().unwrap();
 }
 
+/// Connections that send half a command and stop must not use up the connection limit.
 #[test]
-fn clients_that_never_end_a_command_do_not_keep_others_out() {
+fn clients_with_incomplete_commands_do_not_keep_others_out() {
     let node = Node::start_with("partial", &Discovery::start(""), 64, "");
-    let mut held = Vec::new();
+    let mut stalled_clients = Vec::new();
     for _ in 0..60 {
         let mut client = node.client();
         client.write("*4\r\n$9\r\nCACHE");
-        held.push(client);
+        stalled_clients.push(client);
     }
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
-    let said = held[0].answer();
-    assert!(said == "end" || said.starts_with("-ERR"), "{said}");
+    let reply = stalled_clients[0].answer();
+    assert!(reply == "end" || reply.starts_with("-ERR"), "{reply}");
 }
 
+/// Datagrams that are no peer messages, from a peer or an unknown address, must not end the node or stop its
+/// messages.
 #[test]
-fn peers_are_told_and_garbage_from_them_is_harmless() {
+fn peers_get_messages_and_garbage_from_them_is_harmless() {
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(HUNG)).unwrap();
     let discovery = Discovery::start("");
     let mut command = node_command("peers", discovery.address, 1024, "");
     let text = config("peers", discovery.address, 1024).replace("\"balancers\":1", "\"balancers\":2");
-    let own =
+    let peer_settings =
         format!(r#""peer_listen":"127.0.0.1:0","peers":["127.0.0.1:1","{}"],"#, peer.local_addr().unwrap());
     let path = config_path("peers");
-    std::fs::write(path, text.replacen('{', &format!("{{{own}"), 1)).unwrap();
+    std::fs::write(path, text.replacen('{', &format!("{{{peer_settings}"), 1)).unwrap();
     command.stdin(Stdio::null());
     let node = Node::run(command, &discovery);
     let mut message = [0; 2000];
-    let (length, sender) = peer.recv_from(&mut message).unwrap();
-    assert!((1..=256).contains(&length), "{length}");
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let (message_length, sender) = peer.recv_from(&mut message).unwrap();
+    assert!((1..=256).contains(&message_length), "{message_length}");
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
     for bytes in [&[0xff; 1][..], &[0xff; 255], &[0xff; 2000], &[]] {
         peer.send_to(bytes, sender).unwrap();
-        stranger.send_to(bytes, sender).unwrap();
+        unknown_sender.send_to(bytes, sender).unwrap();
     }
-    // It goes on to speak, and to serve.
+    // The node still sends to the peer and serves clients.
     peer.recv_from(&mut message).unwrap();
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
 }
 
+/// The origin closes each connection after its answer: a write sent over a closed connection would fail.
 #[test]
-fn a_connection_that_the_origin_has_closed_is_not_used_again() {
-    let (closed, ended) = channel();
+fn a_connection_closed_by_the_origin_is_not_reused() {
+    let (closed, close_confirmed) = channel();
     let closed = Mutex::new(closed);
     let origin = serve(call, move |_| {
         let Reaction::Answer(bytes) = http("200 OK", "done") else { unreachable!() };
@@ -347,22 +374,25 @@
     for i in 0..20 {
         let id = format!("w{i}");
         assert_eq!(client.ask(&["CACHE.SET", "k", &id, "c=once,t=acme,d=9000,k=5", "v"]), "$done", "{id}");
-        ended.recv_timeout(HUNG).unwrap();
+        close_confirmed.recv_timeout(HUNG).unwrap();
     }
 }
 
+/// A reload takes effect at once, also during an open watch and where the new service counts revisions from 1
+/// again.
 #[test]
-fn at_sighup_it_goes_over_to_the_discovery_of_the_file_and_a_bad_file_changes_nothing() {
-    let names = ["old", "second", "third"];
-    let [old, second, third] = names.map(|n| serve(command, move |_| array(n)));
+fn sighup_switches_to_the_discovery_address_of_the_file_and_a_bad_file_changes_nothing() {
+    let server_names = ["old", "second", "third"];
+    let [old, second, third] = server_names.map(|n| serve(command, move |_| array(n)));
     let list = |server| member("s-1", server, "m", "ready");
-    // The first agent answers once and leaves the watch open: the node must leave it in the middle of that.
-    let agent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let first = agent.local_addr().unwrap();
-    let mut started = node_command("reload", first, 1024, "");
-    started.env("ROUTER_DISCOVERY", first.to_string());
-    let node = Node::spawn(started);
-    let mut watch = BufReader::new(agent.accept().unwrap().0);
+    // The first discovery service answers once and leaves the watch open: the node must abandon it during the
+    // watch.
+    let first_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+    let first_address = first_discovery.local_addr().unwrap();
+    let mut node_process = node_command("reload", first_address, 1024, "");
+    node_process.env("ROUTER_DISCOVERY", first_address.to_string());
+    let node = Node::spawn(node_process);
+    let mut watch = BufReader::new(first_discovery.accept().unwrap().0);
     call(&mut watch).unwrap();
     let Reaction::Answer(answer) =
         http("200 OK", &format!(r#"{{"revision":900,"complete":true,"members":[{}]}}"#, list(old)))
@@ -381,44 +411,46 @@
     node.logged("stays as it was");
     assert_eq!(ask("i2"), "$old");
 
-    // Reloads in a row, at services whose revisions begin anew.
-    let mut left = Vec::new();
+    // Reloads in a row, to services whose revisions start again at 1.
+    let mut watch_rest = Vec::new();
     for (i, server) in [second, third].into_iter().enumerate() {
         let next = Discovery::start(&list(server));
         std::fs::write(&path, config("reload", next.address, 1024)).unwrap();
         node.signal("HUP");
         node.logged(&next.address.to_string());
         next.watched_after(1);
-        assert_eq!(ask(&format!("r{i}")), format!("${}", names[i + 1]));
+        assert_eq!(ask(&format!("r{i}")), format!("${}", server_names[i + 1]));
         if i == 0 {
-            watch.read_to_end(&mut left).unwrap();
-            assert_eq!(left, b"", "the old address is left in the middle of the watch");
+            watch.read_to_end(&mut watch_rest).unwrap();
+            assert_eq!(watch_rest, b"", "the old connection is closed during the watch");
         }
     }
 }
 
+/// Two clients use one request ID: the second must not get, replace or end the first one's request.
 #[test]
-fn an_id_that_is_open_is_an_error_and_leaves_the_first_request_unharmed() {
-    let (server, commands, go) = held(|asked| asked[1].clone());
+fn a_duplicate_of_an_open_request_id_is_an_error_and_leaves_the_first_request_unharmed() {
+    let (server, commands, permit) = gated_server(|request| request[1].clone());
     let node = Node::start("ids", &Discovery::start(&member("s-1", server, "m", "ready")));
     let (mut first, mut second) = (node.client(), node.client());
     first.send(&["CACHE.GET", "mine", "i1", "c=read,t=acme,d=9000"]);
     commands.recv_timeout(HUNG).unwrap();
     assert!(second.ask(&["CACHE.GET", "other", "i1", "c=read,t=acme,d=9000"]).starts_with("-ERR"));
-    go.send(()).unwrap();
+    permit.send(()).unwrap();
     assert_eq!(first.answer(), "$mine");
-    // It is forgotten with its request.
-    go.send(()).unwrap();
+    // The ID is free again once its request has ended.
+    permit.send(()).unwrap();
     assert_eq!(second.ask(&["CACHE.GET", "other", "i1", "c=read,t=acme,d=9000"]), "$other");
-    assert_eq!(commands.try_iter().count(), 1, "the id in use went on to a server");
+    assert_eq!(commands.try_iter().count(), 1, "the duplicate request was sent to a server");
 }
 
+/// Commands that a cache server could not parse are refused by the node; unusual but valid ones pass.
 #[test]
-fn what_a_cache_server_cannot_read_does_not_reach_it() {
-    let (seen, commands) = channel();
-    let seen = report(seen);
-    let server = serve(command, move |asked| {
-        seen(asked);
+fn malformed_commands_do_not_reach_a_cache_server() {
+    let (command_sender, commands) = channel();
+    let record_command = recorder(command_sender);
+    let server = serve(command, move |request| {
+        record_command(request);
         array("v")
     });
     let node = Node::start("form", &Discovery::start(&member("s-1", server, "m", "ready")));
@@ -445,36 +477,40 @@
     assert!(client.ask(&["Cache.Get", "k", "i", "c=read,t=acme,d=900"]).starts_with("-ERR"));
     assert!(client.ask(&["CACHE.GET", "k", "", "c=read,t=acme,d=900"]).starts_with("-ERR"));
     assert_eq!(commands.try_iter().count(), 0);
-    // No stricter than that.
+    // Valid although unusual: bytes outside ASCII, an ID that is no hex, unknown fields, empty values.
     assert_eq!(
         client.ask(&["CACHE.GET", "k\n\u{e9}", "no-hex:1", "d=9000.5,x=y=z,t=acme,r=1,h=5,k=,c=read"]),
         "$v"
     );
 }
 
+/// The timeouts for silent clients and for incomplete commands must not cut off a client that waits for an
+/// answer.
 #[test]
-fn silence_and_half_commands_end_but_not_requests_behind_which_a_client_waits() {
-    let (server, commands, go) = held(|_| "late".into());
+fn idle_and_incomplete_connections_are_closed_but_not_while_a_request_is_open() {
+    let (server, commands, permit) = gated_server(|_| "late".into());
     let node = Node::start("silence", &Discovery::start(&member("s-1", server, "m", "ready")));
-    let [mut silent, mut half, mut behind, mut once] = [0; 4].map(|_| node.client());
-    half.write("*4\r\n$9\r\nCACHE");
-    behind.send(&["CACHE.GET", "k", "i1", "c=read,t=acme,d=19000"]);
-    behind.write("*4\r\n$9\r\nCACHE");
-    assert_eq!(once.ask(&["PING"]), "+PONG");
+    let [mut silent, mut incomplete, mut waiting, mut idle] = [0; 4].map(|_| node.client());
+    incomplete.write("*4\r\n$9\r\nCACHE");
+    waiting.send(&["CACHE.GET", "k", "i1", "c=read,t=acme,d=19000"]);
+    waiting.write("*4\r\n$9\r\nCACHE");
+    assert_eq!(idle.ask(&["PING"]), "+PONG");
     commands.recv_timeout(HUNG).unwrap();
     assert_eq!(silent.answer(), "end");
-    assert!(half.answer().starts_with("-ERR"));
-    assert_eq!(half.answer(), "end");
-    // Clients that ask once and keep their connection for good.
-    assert_eq!(once.answer(), "end");
-    go.send(()).unwrap();
-    assert_eq!(behind.answer(), "$late");
-    assert!(behind.answer().starts_with("-ERR"));
-    assert_eq!(behind.answer(), "end");
+    assert!(incomplete.answer().starts_with("-ERR"));
+    assert_eq!(incomplete.answer(), "end");
+    // A client that sends one command and keeps its connection open is closed as well.
+    assert_eq!(idle.answer(), "end");
+    permit.send(()).unwrap();
+    assert_eq!(waiting.answer(), "$late");
+    assert!(waiting.answer().starts_with("-ERR"));
+    assert_eq!(waiting.answer(), "end");
 }
 
+/// A client that pipelines without limit must not fill the memory: commands beyond a first limit are refused
+/// one by one, and beyond a second limit the connection is closed.
 #[test]
-fn of_too_many_commands_at_once_those_beyond_are_refused_and_then_the_client_is_cut_off() {
+fn excess_pipelined_commands_are_refused_and_then_the_client_is_cut_off() {
     let node = Node::start(
         "many",
         &Discovery::start(&member("s-1", serve(command, |_| Reaction::Silence), "m", "ready")),
@@ -495,27 +531,28 @@
     assert!(ask(3000) < 3000);
 }
 
-/// A connection to a cache server on which a test speaks for itself.
-fn accept(server: &TcpListener) -> BufReader<std::net::TcpStream> {
+/// Accepts a connection at a cache server whose answers the test writes itself.
+fn accept_with_timeout(server: &TcpListener) -> BufReader<std::net::TcpStream> {
     let (stream, _) = server.accept().unwrap();
     stream.set_read_timeout(Some(std::time::Duration::from_secs(8))).unwrap();
     BufReader::new(stream)
 }
 
+/// An answer that cannot be parsed must not be taken for a miss, nor may its connection be reused.
 #[test]
-fn a_spoilt_answer_fails_its_attempt_and_ends_its_connection() {
+fn a_malformed_answer_fails_its_attempt_and_closes_its_connection() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (called, calls) = channel();
-    let called = report(called);
-    let origin = serve(call, move |asked| {
-        called(asked);
+    let (call_sender, calls) = channel();
+    let record_call = recorder(call_sender);
+    let origin = serve(call, move |request| {
+        record_call(request);
         http("200 OK", "fetched")
     });
     let address = server.local_addr().unwrap();
     let members = [member("s-1", address, "m", "ready"), member("o-1", origin, "origin", "ready")].join(",");
     let node = Node::start("spoilt", &Discovery::start(&members));
     let mut client = node.client();
-    for (i, spoilt) in [
+    for (i, malformed) in [
         "+OK\r\n",
         ":1\r\n",
         "$1\r\nv\r\n",
@@ -525,40 +562,41 @@
         "*3\r\n$1\r\nv\r\n:1\r\n$-1\r\n",
         "*3\r\n$3000000000\r\nxxxx",
         "\0\0noise",
-        // It begins, and nothing more comes.
+        // It starts well and then stalls.
         "*3\r\n$500\r\nv\r\n$3\r\nhit\r\n$-1\r\n",
     ]
     .into_iter()
     .enumerate()
     {
         client.send(&["CACHE.GET", "k", &format!("i{i}"), "c=read,t=acme,d=19000"]);
-        let mut connection = accept(&server);
+        let mut connection = accept_with_timeout(&server);
         command(&mut connection).unwrap();
-        connection.get_mut().write_all(spoilt.as_bytes()).unwrap();
-        assert_eq!(command(&mut connection), None, "the connection goes on after {spoilt:?}");
+        connection.get_mut().write_all(malformed.as_bytes()).unwrap();
+        assert_eq!(command(&mut connection), None, "the connection was reused after {malformed:?}");
         let answer = client.answer();
-        assert!(answer.starts_with("-BUSY"), "{spoilt:?}: {answer}");
+        assert!(answer.starts_with("-BUSY"), "{malformed:?}: {answer}");
     }
-    assert_eq!(calls.try_iter().count(), 0, "a spoilt answer was taken for a miss");
+    assert_eq!(calls.try_iter().count(), 0, "a malformed answer was taken for a miss");
 }
 
+/// Bytes that follow a complete answer must not become the start of the answer to the next request.
 #[test]
-fn what_stands_behind_a_good_answer_does_not_spoil_the_next() {
+fn extra_bytes_after_a_good_answer_do_not_corrupt_the_next() {
     let good = |id: &str| format!("*3\r\n${}\r\n{id}\r\n$3\r\nhit\r\n$17\r\nlat_ms=5,busy=0.1\r\n", id.len());
-    let server = serve(command, move |asked| {
-        let more = match asked[1].as_str() {
-            "copy" => good(&asked[2]),
+    let server = serve(command, move |request| {
+        let extra = match request[1].as_str() {
+            "copy" => good(&request[2]),
             "half" => "*3\r\n$2\r\n".into(),
             "noise" => "*".into(),
             _ => String::new(),
         };
-        // A report that can't be read takes nothing from the value.
-        let answer = if asked[1] == "report" {
-            good(&asked[2]).replace("$17\r\nlat_ms=5,busy=0.1", ":7")
+        // An unreadable load report does not invalidate the value.
+        let answer = if request[1] == "report" {
+            good(&request[2]).replace("$17\r\nlat_ms=5,busy=0.1", ":7")
         } else {
-            good(&asked[2])
+            good(&request[2])
         };
-        Reaction::Answer((answer + &more).into_bytes())
+        Reaction::Answer((answer + &extra).into_bytes())
     });
     let node = Node::start("behind", &Discovery::start(&member("s-1", server, "m", "ready")));
     let mut client = node.client();
@@ -568,9 +606,11 @@
     }
 }
 
+/// The list gives a known server a new address: the open request is answered at the old one, the next goes to
+/// the new one.
 #[test]
-fn a_server_that_has_moved_gets_nothing_new_at_its_old_address() {
-    let (old, commands, go) = held(|_| "old".into());
+fn a_server_that_moved_gets_no_new_requests_at_its_old_address() {
+    let (old, commands, permit) = gated_server(|_| "old".into());
     let new = serve(command, |_| array("new"));
     let discovery = Discovery::start(&member("s-1", old, "m", "ready"));
     let node = Node::start("moved", &discovery);
@@ -579,30 +619,30 @@
     commands.recv_timeout(HUNG).unwrap();
     discovery.change(2, &member("s-1", new, "m", "ready"));
     discovery.watched_after(2);
-    go.send(()).unwrap();
+    permit.send(()).unwrap();
     assert_eq!(client.answer(), "$old");
     assert_eq!(client.ask(&["CACHE.GET", "k", "i1", "c=read,t=acme,d=9000"]), "$new");
 }
 
-/// Clients can hold only so many connections: those that some keep for good must not keep the rest out.
+/// Clients can hold only a limited number of connections, so idle ones must not keep others out.
 #[test]
-fn kept_connections_are_closed_sooner_where_many_are_open() {
+fn idle_connections_are_closed_sooner_when_many_are_open() {
     let node = Node::start_with("kept", &Discovery::start(""), 64, "");
-    let since = std::time::Instant::now();
-    let mut kept = Vec::new();
-    // Of 24 that there may be.
+    let started_at = std::time::Instant::now();
+    let mut idle_clients = Vec::new();
+    // The limit is 24.
     for _ in 0..20 {
         let mut client = node.client();
         assert_eq!(client.ask(&["PING"]), "+PONG");
-        kept.push(client);
+        idle_clients.push(client);
     }
-    // Whichever goes first: those that began within one tick of the timers go in no order.
-    let (gone, first) = channel();
-    for mut client in kept {
-        let gone = gone.clone();
-        std::thread::spawn(move || gone.send(client.answer()));
+    // Waits for whichever is closed first: connections of the same timer tick are closed in any order.
+    let (closed_answers, first_closed) = channel();
+    for mut client in idle_clients {
+        let closed_answers = closed_answers.clone();
+        std::thread::spawn(move || closed_answers.send(client.answer()));
     }
-    assert_eq!(first.recv_timeout(HUNG).unwrap(), "end");
-    // Without need they have 10 s.
-    assert!(since.elapsed().as_secs() < 8, "{:?}", since.elapsed());
+    assert_eq!(first_closed.recv_timeout(HUNG).unwrap(), "end");
+    // With few connections open, an idle one is closed after 10 s.
+    assert!(started_at.elapsed().as_secs() < 8, "{:?}", started_at.elapsed());
 }
--- a/crates/mothpier/tests/settings.rs
+++ b/crates/mothpier/tests/settings.rs
@@ -1,5 +1,6 @@
-//! Settings of other customers: each figure left out, at zero, below it, far too large, or broken, and each switch turned.
-//! A node serves with them or says in one line why it does not start.
+//! Variants of the settings: each value left out, and each number set to zero, a negative, a fraction or a
+//! huge value, and each switch inverted. A node must serve with them or report in one line why it does not
+//! start.
 #![allow(missing_docs)]
 
 use std::io::{BufRead, BufReader};
@@ -11,11 +12,11 @@
 use mothpier_world::loopback::*;
 use serde_json::{Value, json};
 
-/// Nodes that run at once.
-const AT_ONCE: usize = 8;
+/// Number of nodes that run concurrently.
+const CONCURRENT_NODES: usize = 8;
 
-/// What stands in the settings besides what tests use: figures that only some customers have.
-fn base() -> Value {
+/// Returns the settings of the other tests with the optional values that they leave out.
+fn base_settings() -> Value {
     let mut settings: Value = serde_json::from_str(SETTINGS).unwrap();
     settings["classes"][1] = json!({"name": "once", "deadlineUs": 2_000_000, "goalTimeUs": 1_000_000, "gain": 8.0,
         "effect": "token", "dedupScope": "zone", "dedupWindowUs": 3_000_000});
@@ -31,23 +32,23 @@
     settings
 }
 
-/// The place of everything in a value, as pointers.
-fn places(value: &Value, at: &str, all: &mut Vec<String>) {
-    let below: Vec<(String, &Value)> = match value {
+/// Appends the JSON pointer of every value below `value`, whose own pointer is `at`.
+fn collect_pointers(value: &Value, at: &str, all: &mut Vec<String>) {
+    let children: Vec<(String, &Value)> = match value {
         Value::Object(map) => map.iter().map(|(name, value)| (name.clone(), value)).collect(),
         Value::Array(list) => list.iter().enumerate().map(|(i, value)| (i.to_string(), value)).collect(),
         _ => Vec::new(),
     };
-    for (name, value) in below {
-        let place = format!("{at}/{name}");
-        places(value, &place, all);
-        all.push(place);
+    for (name, value) in children {
+        let pointer = format!("{at}/{name}");
+        collect_pointers(value, &pointer, all);
+        all.push(pointer);
     }
 }
 
-/// The settings without what stands at a place.
-fn without(mut settings: Value, place: &str) -> Value {
-    let (parent, name) = place.rsplit_once('/').unwrap();
+/// Returns the settings without the value at a pointer.
+fn without(mut settings: Value, pointer: &str) -> Value {
+    let (parent, name) = pointer.rsplit_once('/').unwrap();
     match settings.pointer_mut(parent).unwrap() {
         Value::Object(map) => drop(map.remove(name)),
         Value::Array(list) => drop(list.remove(name.parse().unwrap())),
@@ -56,33 +57,35 @@
     settings
 }
 
+/// Returns each variant of the settings with a description of its difference.
 fn variants() -> Vec<(String, Value)> {
-    let base = base();
+    let base = base_settings();
     let mut all = Vec::new();
-    places(&base, "", &mut all);
+    collect_pointers(&base, "", &mut all);
     let mut variants = Vec::new();
-    for place in all {
-        variants.push((format!("{place} left out"), without(base.clone(), &place)));
-        let others: Vec<Value> = match base.pointer(&place).unwrap() {
+    for pointer in all {
+        variants.push((format!("{pointer} left out"), without(base.clone(), &pointer)));
+        let replacements: Vec<Value> = match base.pointer(&pointer).unwrap() {
             Value::Number(_) => [0.0, -1.0, 1.0, 0.4, 1e18].map(|n| json!(n)).into(),
-            Value::Bool(is) => vec![json!(!is)],
+            Value::Bool(switch) => vec![json!(!switch)],
             _ => Vec::new(),
         };
-        for other in others.into_iter().flat_map(|n| match n.as_f64() {
-            // Where only whole numbers are taken.
+        for replacement in replacements.into_iter().flat_map(|n| match n.as_f64() {
+            // The integer form as well, for values that must be integers.
             Some(f) if f.fract() == 0.0 && f.abs() < 10.0 => vec![json!(f as i64), n],
             _ => vec![n],
         }) {
             let mut settings = base.clone();
-            *settings.pointer_mut(&place).unwrap() = other.clone();
-            variants.push((format!("{place} = {other}"), settings));
+            *settings.pointer_mut(&pointer).unwrap() = replacement.clone();
+            variants.push((format!("{pointer} = {replacement}"), settings));
         }
     }
     variants
 }
 
-/// Whether it served; what is said otherwise is one line that names the settings.
-fn serves(number: usize, what: &str, settings: &Value, discovery: SocketAddr) -> bool {
+/// Starts a node with the settings and returns whether it served. If it did not start, checks that it logged
+/// exactly one line, which names the settings.
+fn serves(number: usize, variant: &str, settings: &Value, discovery: SocketAddr) -> bool {
     let name = format!("settings-{number}");
     let mut command = node_command(&name, discovery, 256, "");
     let path = config_path(&name);
@@ -91,21 +94,21 @@
     std::fs::write(&path, config.to_string()).unwrap();
     let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-    let mut said = Vec::new();
+    let mut messages = Vec::new();
     let address = lines.by_ref().find_map(|line| {
         let address = line.split_once(" listens on ").and_then(|(_, at)| at.trim_end().parse().ok());
-        said.push(line);
+        messages.push(line);
         address
     });
     let Some(address) = address else {
-        assert_eq!(child.wait().unwrap().code(), Some(2), "{what}: {said:?}");
-        assert_eq!(said.len(), 1, "{what}: {said:?}");
-        assert!(said[0].contains("unreadable settings"), "{what}: {said:?}");
+        assert_eq!(child.wait().unwrap().code(), Some(2), "{variant}: {messages:?}");
+        assert_eq!(messages.len(), 1, "{variant}: {messages:?}");
+        assert!(messages[0].contains("unreadable settings"), "{variant}: {messages:?}");
         return false;
     };
     let log = thread::spawn(move || lines.collect::<Vec<_>>());
     let mut client = Client::connect(address);
-    for words in [
+    for arguments in [
         vec!["PING"],
         vec!["CACHE.GET", "k", "i1", "c=read,t=acme,d=300"],
         vec!["CACHE.GET", "k", "i2", "c=once,t=acme,d=300"],
@@ -113,36 +116,38 @@
         vec!["CACHE.GET", "k", "i4", "c=brief,t=acme,d=300"],
         vec!["PING"],
     ] {
-        let answer = client.ask(&words);
-        let known = ["$v", "-BUSY", "-ERR", "+PONG"].iter().any(|known| answer.starts_with(known));
-        assert!(known, "{what}: {words:?} is answered {answer:?}");
+        let answer = client.ask(&arguments);
+        let expected = ["$v", "-BUSY", "-ERR", "+PONG"].iter().any(|prefix| answer.starts_with(prefix));
+        assert!(expected, "{variant}: unexpected answer to {arguments:?}: {answer:?}");
     }
-    assert!(child.try_wait().unwrap().is_none(), "{what}: it has ended");
+    assert!(child.try_wait().unwrap().is_none(), "{variant}: the node has ended");
     child.kill().unwrap();
     child.wait().unwrap();
     let log = log.join().unwrap().join("\n");
-    assert!(!log.contains("panicked"), "{what}: {log}");
+    assert!(!log.contains("panicked"), "{variant}: {log}");
     true
 }
 
+/// Unusual settings must not make a node panic, hang or answer outside the protocol. Sites set values that no
+/// other test uses, so each value is varied by itself.
 #[test]
-fn a_node_serves_with_any_settings_or_says_why_it_does_not_start() {
-    let cold = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
+fn a_node_serves_with_any_settings_or_reports_why_it_does_not_start() {
+    let now_ms = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
     let server = serve(command, |_| array("v"));
     let origin = serve(call, |_| http("200 OK", "v"));
-    // One that has just started: what is reckoned from its age is reckoned, too.
-    let line =
-        member("s-1", server, "m", "ready").replace("\"up_since_ms\":0", &format!("\"up_since_ms\":{cold}"));
-    let discovery = Discovery::start(&[line, member("o-1", origin, "origin", "ready")].join(","));
+    // A server that has just started, so that the settings for cold servers apply.
+    let server_entry = member("s-1", server, "m", "ready")
+        .replace("\"up_since_ms\":0", &format!("\"up_since_ms\":{now_ms}"));
+    let discovery = Discovery::start(&[server_entry, member("o-1", origin, "origin", "ready")].join(","));
     let at = discovery.address;
     let (variants, next, served) = (variants(), AtomicUsize::new(0), AtomicUsize::new(0));
     thread::scope(|scope| {
-        for _ in 0..AT_ONCE {
+        for _ in 0..CONCURRENT_NODES {
             scope.spawn(|| {
                 loop {
                     let number = next.fetch_add(1, Ordering::SeqCst);
-                    let Some((what, settings)) = variants.get(number) else { return };
-                    served.fetch_add(serves(number, what, settings, at).into(), Ordering::SeqCst);
+                    let Some((variant, settings)) = variants.get(number) else { return };
+                    served.fetch_add(serves(number, variant, settings, at).into(), Ordering::SeqCst);
                 }
             });
         }
--- a/crates/mothpier/tests/sidecar.rs
+++ b/crates/mothpier/tests/sidecar.rs
@@ -1,4 +1,5 @@
-//! A node as one application's sidecar, as a process: from the file that a person writes to the answers.
+//! A node process as the sidecar of one application: from the configuration file that a person writes to the
+//! answers.
 #![allow(missing_docs)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -43,15 +44,15 @@
 }
 "#;
 
-/// What a node is started with, from a person's file.
-fn rendered(more: &str) -> serde_json::Value {
-    let checked = check(format!("{FILE}{more}").as_bytes(), Form::Hcl, &Hosts::default());
+/// Renders the start configuration of a node from `FILE` and further lines.
+fn rendered(extra: &str) -> serde_json::Value {
+    let checked = check(format!("{FILE}{extra}").as_bytes(), Form::Hcl, &Hosts::default());
     let lines: Vec<String> = checked.findings.iter().map(|f| f.line(&checked.text)).collect();
     assert!(!has_errors(&checked.findings), "{lines:#?}");
     render(&checked.app.unwrap())
 }
 
-/// A node's process and what it logs; killed at the end of the test.
+/// A node process and its log; killed at the end of the test.
 struct Process {
     child: Child,
     log: BufReader<std::process::ChildStderr>,
@@ -75,14 +76,11 @@
 }
 
 impl Process {
-    /// Waits for a line of the log that holds a text.
+    /// Waits for a log line that contains a text.
     fn logged(&mut self, text: &str) -> String {
         loop {
             let mut line = String::new();
-            assert!(
-                self.log.read_line(&mut line).unwrap() > 0,
-                "the node ended and said nothing of {text:?}"
-            );
+            assert!(self.log.read_line(&mut line).unwrap() > 0, "the node ended without logging {text:?}");
             if line.contains(text) {
                 return line;
             }
@@ -95,10 +93,10 @@
     }
 }
 
-/// Sends a command and reads the answer's first line, and the value behind it.
-fn ask(stream: &mut (impl Read + Write), words: &[&str]) -> String {
-    let mut bytes = format!("*{}\r\n", words.len());
-    words.iter().for_each(|w| bytes += &format!("${}\r\n{w}\r\n", w.len()));
+/// Sends a command and reads the first line of the answer, and the value that may follow it.
+fn ask(stream: &mut (impl Read + Write), arguments: &[&str]) -> String {
+    let mut bytes = format!("*{}\r\n", arguments.len());
+    arguments.iter().for_each(|w| bytes += &format!("${}\r\n{w}\r\n", w.len()));
     stream.write_all(bytes.as_bytes()).unwrap();
     let line = |stream: &mut dyn Read| {
         let (mut line, mut byte) = (Vec::new(), [0]);
@@ -112,54 +110,56 @@
     if first.starts_with('$') { format!("${}", line(stream)) } else { first }
 }
 
-/// A box that serves everything and reports what it was asked.
-fn cache_box() -> (SocketAddr, Receiver<Vec<String>>) {
-    let (seen, commands) = channel();
-    let seen = Mutex::new(seen);
-    let address = serve(command, move |asked| {
-        let _ = seen.lock().unwrap().send(asked.to_vec());
+/// Starts a cache server that answers every command and sends the commands to the test.
+fn recording_cache_server() -> (SocketAddr, Receiver<Vec<String>>) {
+    let (command_sender, commands) = channel();
+    let command_sender = Mutex::new(command_sender);
+    let address = serve(command, move |request| {
+        let _ = command_sender.lock().unwrap().send(request.to_vec());
         array("value")
     });
     (address, commands)
 }
 
-fn folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("mothpier-sidecar-{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    folder
+fn create_directory(name: &str) -> PathBuf {
+    let directory = std::env::temp_dir().join(format!("mothpier-sidecar-{}-{name}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
+    directory
 }
 
-fn free_port() -> SocketAddr {
+fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// Asks until the node has its list: `PING` says so.
-fn ready(stream: &mut (impl Read + Write)) {
+/// Sends `PING` until the node reports that it has a server list.
+fn wait_until_ready(stream: &mut (impl Read + Write)) {
     while ask(stream, &["PING"]) != "+PONG" {
         std::thread::yield_now();
     }
 }
 
+/// A sidecar fills in the tenant and the default class, and refuses requests for another tenant, for a class
+/// of the other command or for an unknown class before they reach a cache server.
 #[test]
-fn an_application_asks_on_its_socket_in_its_own_name_alone() {
-    let (server, commands) = cache_box();
+fn an_application_can_use_its_socket_for_its_own_tenant_and_classes_alone() {
+    let (server, commands) = recording_cache_server();
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
-    let folder = folder("unix");
-    let path = folder.join("app.sock");
-    let more = format!(
+    let directory = create_directory("unix");
+    let path = directory.join("app.sock");
+    let extra = format!(
         "listen {{\n  unix = {path:?}\n  mode = \"0600\"\n}}\ndiscovery {{\n  address = \"{}\"\n}}\n",
         discovery.address
     );
-    let mut node = start("sidecar-unix", &rendered(&more));
+    let mut node = start("sidecar-unix", &rendered(&extra));
     node.logged("listens on");
     assert_eq!(std::fs::metadata(&path).unwrap().permissions().mode() & 0o777, 0o600);
     let mut client = UnixStream::connect(&path).unwrap();
-    ready(&mut client);
+    wait_until_ready(&mut client);
     discovery.watched_after(1);
     assert_eq!(ask(&mut client, &["CACHE.GET", "k1", "id1", "d=9000"]), "$value");
-    let asked = commands.recv_timeout(HUNG).unwrap();
-    assert!(asked[3].starts_with("d=") && asked[3].ends_with(",t=acme,c=browse"), "{}", asked[3]);
-    for (words, error) in [
+    let request = commands.recv_timeout(HUNG).unwrap();
+    assert!(request[3].starts_with("d=") && request[3].ends_with(",t=acme,c=browse"), "{}", request[3]);
+    for (arguments, error) in [
         (["CACHE.GET", "k1", "id2", "t=rival,d=9000"], "-NOPERM this sidecar asks for tenant \"acme\" alone"),
         (
             ["CACHE.GET", "k1", "id3", "c=send-message,d=9000"],
@@ -167,33 +167,36 @@
         ),
         (["CACHE.GET", "k1", "id4", "c=pay,d=9000"], "-NOPERM class \"pay\" is none"),
     ] {
-        let answer = ask(&mut client, &words);
+        let answer = ask(&mut client, &arguments);
         assert!(answer.starts_with(error), "{answer}");
     }
     let answer = ask(&mut client, &["CACHE.SET", "k1", "id5", "d=9000", "new"]);
     assert!(answer.starts_with("-ERR no class"), "{answer}");
     assert_eq!(ask(&mut client, &["CACHE.GET", "k2", "id6", "t=acme,c=browse,d=9000"]), "$value");
-    let asked = commands.recv_timeout(HUNG).unwrap();
-    assert_eq!(asked[1], "k2", "nothing of what was refused has come to the box");
-    // The application dies without a word; the next one is served, and the node ends in order.
+    let request = commands.recv_timeout(HUNG).unwrap();
+    assert_eq!(request[1], "k2", "a refused request reached the cache server");
+    // The application closes its connection without `QUIT`: the next one is served, and the node stops
+    // cleanly.
     drop(client);
     let mut client = UnixStream::connect(&path).unwrap();
     assert_eq!(ask(&mut client, &["CACHE.GET", "k3", "id7", "d=9000"]), "$value");
     node.signal("TERM");
     assert!(node.child.wait().unwrap().success());
-    assert!(!path.exists(), "its socket goes with it");
-    std::fs::remove_dir_all(folder).unwrap();
+    assert!(!path.exists(), "the socket file is removed at the stop");
+    std::fs::remove_dir_all(directory).unwrap();
 }
 
+/// A class that writes without a key could repeat an effect: the checker refuses it at the start, and at a
+/// reload the node keeps its configuration and goes on serving.
 #[test]
-fn what_the_checker_refuses_does_not_start_and_is_not_taken_over() {
-    let (server, _commands) = cache_box();
+fn a_configuration_that_the_checker_refuses_neither_starts_nor_replaces_a_running_one() {
+    let (server, _commands) = recording_cache_server();
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
-    let more = format!(
+    let extra = format!(
         "listen {{\n  address = \"127.0.0.1:6379\"\n}}\ndiscovery {{\n  address = \"{}\"\n}}\n",
         discovery.address
     );
-    let mut good = rendered(&more);
+    let mut good = rendered(&extra);
     good["listen"] = "127.0.0.1:0".into();
     let mut bad = good.clone();
     bad["settings"]["classes"][1]["effect"] = "pure".into();
@@ -208,7 +211,7 @@
     let address: SocketAddr =
         node.logged("listens on").trim_end().rsplit(' ').next().unwrap().parse().unwrap();
     let mut client = TcpStream::connect(address).unwrap();
-    ready(&mut client);
+    wait_until_ready(&mut client);
     bad["discovery"] = "127.0.0.1:1".into();
     std::fs::write(config_path("sidecar-reload"), bad.to_string()).unwrap();
     node.signal("HUP");
@@ -217,50 +220,53 @@
     assert_eq!(ask(&mut client, &["CACHE.GET", "k1", "id1", "d=9000"]), "$value");
 }
 
+/// A sidecar marks what it forwards with `hop=`, which ends loops between nodes. Cache servers do not know
+/// the field, so the tier removes it.
 #[test]
-fn a_sidecar_hands_on_to_the_tier_and_no_box_hears_of_the_hop() {
-    let (server, commands) = cache_box();
+fn a_sidecar_forwards_to_the_tier_and_the_hop_field_does_not_reach_a_cache_server() {
+    let (server, commands) = recording_cache_server();
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
-    let (tier_at, sidecar_at) = (free_port(), free_port());
-    // A node of the tier: the platform's form, without a section of its own.
-    let more = format!(
-        "listen {{\n  address = \"{tier_at}\"\n}}\ndiscovery {{\n  address = \"{}\"\n}}\n",
+    let (tier_address, sidecar_address) = (free_address(), free_address());
+    // A node of the tier: the same configuration without the `sidecar` section.
+    let extra = format!(
+        "listen {{\n  address = \"{tier_address}\"\n}}\ndiscovery {{\n  address = \"{}\"\n}}\n",
         discovery.address
     );
-    let mut file = rendered(&more);
+    let mut file = rendered(&extra);
     file.as_object_mut().unwrap().remove("sidecar");
     let mut tier = start("sidecar-tier", &file);
     tier.logged("listens on");
-    let to_tier = |listen: SocketAddr, node: SocketAddr| {
-        let more = format!(
+    let forward_to_tier = |listen: SocketAddr, node: SocketAddr| {
+        let extra = format!(
             "upstream = \"tier\"\nlisten {{\n  address = \"{listen}\"\n}}\nbox \"n-0\" {{\n  address = \"{node}\"\n}}\n"
         );
-        rendered(&more)
+        rendered(&extra)
     };
-    let mut sidecar = start("sidecar-of-tier", &to_tier(sidecar_at, tier_at));
+    let mut sidecar = start("sidecar-of-tier", &forward_to_tier(sidecar_address, tier_address));
     sidecar.logged("listens on");
-    ready(&mut TcpStream::connect(tier_at).unwrap());
-    let mut client = TcpStream::connect(sidecar_at).unwrap();
-    assert_eq!(ask(&mut client, &["PING"]), "+PONG", "without a list it is ready at once");
+    wait_until_ready(&mut TcpStream::connect(tier_address).unwrap());
+    let mut client = TcpStream::connect(sidecar_address).unwrap();
+    assert_eq!(ask(&mut client, &["PING"]), "+PONG", "a sidecar of a tier needs no server list to be ready");
     assert_eq!(ask(&mut client, &["CACHE.GET", "k1", "id1", "d=9000"]), "$value");
-    let asked = commands.recv_timeout(HUNG).unwrap();
-    assert_eq!(asked[..3], ["CACHE.GET", "k1", "id1"]);
+    let request = commands.recv_timeout(HUNG).unwrap();
+    assert_eq!(request[..3], ["CACHE.GET", "k1", "id1"]);
     assert!(
-        !asked[3].contains("hop=") && asked[3].contains("c=browse") && asked[3].contains("t=acme"),
+        !request[3].contains("hop=") && request[3].contains("c=browse") && request[3].contains("t=acme"),
         "{}",
-        asked[3]
+        request[3]
     );
-    let wait = asked[3].split(',').find_map(|p| p.strip_prefix("d=")).unwrap();
-    assert!(wait.parse::<u32>().unwrap() <= 9000);
-    // Two sidecars that take each other for the tier: the request comes back with an error, and goes round no more.
-    let (a, b) = (free_port(), free_port());
-    let mut first = start("sidecar-loop-a", &to_tier(a, b));
-    let mut second = start("sidecar-loop-b", &to_tier(b, a));
+    let remaining_ms = request[3].split(',').find_map(|p| p.strip_prefix("d=")).unwrap();
+    assert!(remaining_ms.parse::<u32>().unwrap() <= 9000);
+    // Two sidecars that are configured as each other's tier: the request must end with an error instead of a
+    // loop.
+    let (a, b) = (free_address(), free_address());
+    let mut first = start("sidecar-loop-a", &forward_to_tier(a, b));
+    let mut second = start("sidecar-loop-b", &forward_to_tier(b, a));
     first.logged("listens on");
     second.logged("listens on");
     let mut client = TcpStream::connect(a).unwrap();
     let answer = ask(&mut client, &["CACHE.GET", "k1", "id9", "d=9000"]);
     assert!(answer.starts_with("-ERR") || answer.starts_with("-BUSY"), "{answer}");
-    // The second one asked the first again, which said no.
+    // The second sidecar forwarded the request to the first again, which refused it.
     second.logged("passed too many nodes");
 }
