--- a/crates/mothpier/tests/descriptors.rs
+++ b/crates/mothpier/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! A process whose descriptors are full, or run out.
+//! A process that uses all its file descriptors, or may open no more.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -11,38 +11,40 @@
 use mothpier_world::outages::{FlakyDiscovery, Outage};
 use rustix::process::{Pid, Resource, Rlimit, prlimit};
 
-/// Descriptors of the node under test.
-const LIMIT: usize = 64;
-/// More clients than it has places for.
+/// Descriptor limit of the node under test.
+const DESCRIPTOR_LIMIT: usize = 64;
+/// More clients than the node can admit.
 const CLIENTS: usize = 60;
-/// An agent that is back is asked within this time: ten times a second, and the machine is busy.
-const FOUND_AGAIN: Duration = Duration::from_millis(1000);
-/// A drain is kept after the settings' grace, and the 50 ms that sockets have.
+/// Time within which the node calls a discovery service that is reachable again: it tries ten times a second,
+/// and a busy machine needs more.
+const RECONNECT_LIMIT: Duration = Duration::from_millis(1000);
+/// Time after which a drained server gets nothing new: the grace in the settings, and 50 ms for the sockets.
 const GRACE: Duration = Duration::from_millis(550);
 
 fn open_descriptors(node: &Node) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count()
 }
 
-/// Starts a node whose process may open `allowed` descriptors, by a configuration of `told`, and waits until it is ready.
-fn start(name: &str, discovery: SocketAddr, told: usize, allowed: usize) -> Node {
-    let node = Node::spawn(node_command(name, discovery, told, &format!("ulimit -n {allowed};")));
-    let since = Instant::now();
+/// Starts a node whose process may open `allowed` descriptors and whose configuration says `configured`, and
+/// waits until it is ready.
+fn start(name: &str, discovery: SocketAddr, configured: usize, allowed: usize) -> Node {
+    let node = Node::spawn(node_command(name, discovery, configured, &format!("ulimit -n {allowed};")));
+    let started_at = Instant::now();
     while node.client().ask(&["PING"]) != "+PONG" {
-        assert!(since.elapsed() < HUNG, "{name}: not ready");
+        assert!(started_at.elapsed() < HUNG, "{name}: not ready");
         thread::sleep(Duration::from_millis(20));
     }
     node
 }
 
-/// A client that takes a place: it stays idle, or waits for an answer that does not come. One that the node closes does not
-/// come again.
-fn take_places(at: SocketAddr, count: usize, asks: bool) {
+/// Starts clients that each hold a connection: idle ones, or with `sends_requests` ones that wait for an
+/// answer that never comes. A client whose connection the node closes does not reconnect.
+fn hold_connections(at: SocketAddr, count: usize, sends_requests: bool) {
     for _ in 0..count {
         thread::spawn(move || {
             let mut client = Client::connect(at);
-            if asks {
-                return wait_again_and_again(&mut client);
+            if sends_requests {
+                return send_unanswered_requests(&mut client);
             }
             while client.try_send(&["PING"]) && client.answer() == "+PONG" {
                 thread::sleep(Duration::from_millis(500));
@@ -52,8 +54,8 @@
     thread::sleep(Duration::from_secs(1));
 }
 
-/// Asks for what nobody answers, and anew once it is refused.
-fn wait_again_and_again(client: &mut Client) {
+/// Sends requests that nobody answers, a new one after each refusal.
+fn send_unanswered_requests(client: &mut Client) {
     static ASKED: AtomicUsize = AtomicUsize::new(0);
     loop {
         let id = format!("w{}", ASKED.fetch_add(1, Ordering::Relaxed));
@@ -64,51 +66,54 @@
     }
 }
 
-/// Goes on asking for many keys, with some commands always out, until it is told to stop. On a busy machine it may be taken
-/// for idle before it has asked: it comes again.
-fn keep_asking(at: SocketAddr, ended: Arc<AtomicBool>) -> thread::JoinHandle<()> {
-    const AHEAD: usize = 24;
+/// Sends requests for many keys, with some always open, until it is stopped. On a busy machine the node may
+/// close the connection as idle before the first request: the client then reconnects.
+fn send_continuously(at: SocketAddr, stopped: Arc<AtomicBool>) -> thread::JoinHandle<()> {
+    const MAX_OPEN: usize = 24;
     thread::spawn(move || {
-        let (mut client, mut out) = (Client::connect(at), 0);
+        let (mut client, mut open) = (Client::connect(at), 0);
         for number in 0.. {
             let (key, id) = (format!("k{}", number % 200), format!("i{number}"));
             let sent = client.try_send(&["CACHE.GET", &key, &id, "c=brief,t=acme,d=400"]);
-            out += 1;
-            if !sent || (out > AHEAD && client.answer() == "end") {
-                (client, out) = (Client::connect(at), 0);
+            open += 1;
+            if !sent || (open > MAX_OPEN && client.answer() == "end") {
+                (client, open) = (Client::connect(at), 0);
             }
-            if ended.load(Ordering::Relaxed) {
+            if stopped.load(Ordering::Relaxed) {
                 return;
             }
         }
     })
 }
 
-/// A cache server that answers, and when each command came.
-fn answering() -> (SocketAddr, Arc<Mutex<Vec<Instant>>>) {
-    let came: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let record = came.clone();
+/// Starts a cache server that answers, and returns the times at which commands arrived.
+fn answering_server() -> (SocketAddr, Arc<Mutex<Vec<Instant>>>) {
+    let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
+    let recorded_arrivals = arrivals.clone();
     let server = serve(command, move |_| {
-        record.lock().unwrap().push(Instant::now());
+        recorded_arrivals.lock().unwrap().push(Instant::now());
         array("v")
     });
-    (server, came)
+    (server, arrivals)
 }
 
-/// Clients hold every place and stay idle, servers that never answer hold theirs, discovery is down. When it returns with
-/// a drain its connection is made within its time, and nothing new goes to the drained server after the grace. Also where
-/// the machine allows the process fewer descriptors than its configuration says.
+/// Idle clients and servers that never answer hold every descriptor while discovery is down. When discovery
+/// returns with a drain, the node must have a descriptor left to connect to it in time, and send nothing new
+/// to the drained server after the grace. The second case is a process that may open fewer descriptors than
+/// its configuration says.
 #[test]
-fn idle_clients_that_fill_every_place_do_not_keep_the_list_out() {
-    let cases = [("idle-told", LIMIT, 256), ("idle-allowed", 1024, LIMIT)];
-    let tests = cases.map(|(name, told, allowed)| thread::spawn(move || full_of_idle(name, told, allowed)));
+fn clients_that_use_every_descriptor_do_not_block_discovery() {
+    let cases = [("idle-told", DESCRIPTOR_LIMIT, 256), ("idle-allowed", 1024, DESCRIPTOR_LIMIT)];
+    let tests = cases.map(|(name, configured, allowed)| {
+        thread::spawn(move || discovery_returns_at_the_limit(name, configured, allowed))
+    });
     for test in tests {
         test.join().unwrap();
     }
 }
 
-fn full_of_idle(name: &str, told: usize, allowed: usize) {
-    let (drained, came) = answering();
+fn discovery_returns_at_the_limit(name: &str, configured: usize, allowed: usize) {
+    let (drained, arrivals) = answering_server();
     let hung: Vec<SocketAddr> = (0..24).map(|_| serve(command, |_| Reaction::Silence)).collect();
     let origin = serve(call, |_| Reaction::Silence);
     let members = |phase: &str| {
@@ -118,35 +123,46 @@
         lines.join(",")
     };
     let discovery = FlakyDiscovery::start(&members("ready"));
-    let node = start(name, discovery.address, told, allowed);
-    let ended = Arc::new(AtomicBool::new(false));
-    let asking = keep_asking(node.address, ended.clone());
-    take_places(node.address, CLIENTS, false);
-    take_places(node.address, CLIENTS, true);
+    let node = start(name, discovery.address, configured, allowed);
+    let stopped = Arc::new(AtomicBool::new(false));
+    let traffic = send_continuously(node.address, stopped.clone());
+    hold_connections(node.address, CLIENTS, false);
+    hold_connections(node.address, CLIENTS, true);
     discovery.goes_down(Outage::Refused);
-    // What discovery's connection took could be taken by others from now on.
-    take_places(node.address, CLIENTS, true);
-    let full = open_descriptors(&node);
-    eprintln!("{name}: {full} of {LIMIT} descriptors are open while discovery is down");
+    // From now on other connections could take the descriptor that discovery's connection has freed.
+    hold_connections(node.address, CLIENTS, true);
+    let open_count = open_descriptors(&node);
+    eprintln!("{name}: {open_count} of {DESCRIPTOR_LIMIT} descriptors are open while discovery is down");
     discovery.has(&members("draining"));
     discovery.comes_back();
-    let back = discovery.had_and_reachable();
+    let reachable_at = discovery.had_and_reachable();
     thread::sleep(Duration::from_secs(3));
-    let called = discovery.first_call_after(back);
-    let called = called.unwrap_or_else(|| panic!("{name}: {full} descriptors, and none for discovery"));
-    assert!(called - back < FOUND_AGAIN, "{name}: asked {:?} after its return", called - back);
-    let told = discovery.told().expect("not told");
-    let came = came.lock().unwrap();
-    assert!(came.iter().any(|at| *at > told - Duration::from_secs(3)), "{name}: nothing went there before");
-    let late = came.iter().filter(|at| **at > told + GRACE).count();
-    assert_eq!(late, 0, "{name}: commands at the drained server after the grace");
-    // All places were taken, but for those that are set aside.
-    assert!((LIMIT - 24..=LIMIT - 6).contains(&full), "{name}: {full} of {LIMIT} descriptors were open");
-    ended.store(true, Ordering::Relaxed);
-    asking.join().unwrap();
+    let called_at = discovery.first_call_after(reachable_at);
+    let called_at = called_at
+        .unwrap_or_else(|| panic!("{name}: {open_count} descriptors open, and none left for discovery"));
+    assert!(
+        called_at - reachable_at < RECONNECT_LIMIT,
+        "{name}: discovery called {:?} after its return",
+        called_at - reachable_at
+    );
+    let list_sent_at = discovery.told().expect("the list with the drain was not sent");
+    let arrivals = arrivals.lock().unwrap();
+    assert!(
+        arrivals.iter().any(|at| *at > list_sent_at - Duration::from_secs(3)),
+        "{name}: no command reached the server before the drain"
+    );
+    let late = arrivals.iter().filter(|at| **at > list_sent_at + GRACE).count();
+    assert_eq!(late, 0, "{name}: commands reached the drained server after the grace");
+    // All descriptors were in use except the reserved ones.
+    assert!(
+        (DESCRIPTOR_LIMIT - 24..=DESCRIPTOR_LIMIT - 6).contains(&open_count),
+        "{name}: {open_count} of {DESCRIPTOR_LIMIT} descriptors were open"
+    );
+    stopped.store(true, Ordering::Relaxed);
+    traffic.join().unwrap();
 }
 
-/// Processor time that a process has used.
+/// Returns the processor time that a process has used.
 fn processor_time(node: &Node) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.child.id())).unwrap();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
@@ -154,8 +170,9 @@
     Duration::from_millis(ticks * 10)
 }
 
-/// No descriptor is left to accept with, whatever was set aside: the node waits without spinning, says so once, and lets
-/// in who waits once there is one.
+/// The descriptor limit falls to zero at run time, so that accepting fails in spite of the reserve. The node
+/// must not retry in a busy loop, must log the failure once, and must accept the waiting client once it may
+/// open descriptors again.
 #[test]
 fn a_process_out_of_descriptors_neither_spins_nor_ends() {
     let discovery = FlakyDiscovery::start("");
@@ -170,21 +187,22 @@
     let mut waiting = node.client();
     waiting.send(&["PING"]);
     node.logged("accepting failed");
-    let used = processor_time(&node);
+    let processor_time_used = processor_time(&node);
     thread::sleep(Duration::from_secs(1));
-    let used = processor_time(&node) - used;
-    assert!(used < Duration::from_millis(300), "{used:?} of a second");
+    let processor_time_used = processor_time(&node) - processor_time_used;
+    assert!(processor_time_used < Duration::from_millis(300), "{processor_time_used:?} of a second");
     assert!(!waiting.answered_already());
     allow(256);
     assert_eq!(waiting.answer(), "+PONG");
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
     assert!(node.child.try_wait().unwrap().is_none());
-    assert_eq!(node.log_count("accepting failed"), 0, "said again and again");
+    assert_eq!(node.log_count("accepting failed"), 0, "the failure was logged more than once");
 }
 
-/// Who has asked in the accept queue as descriptors run out at the end of the process is answered as others close.
+/// Descriptors run out during the shutdown: a client in the accept queue that has sent its request must still
+/// be accepted and answered once descriptors are free.
 #[test]
-fn who_waits_as_descriptors_run_out_at_the_end_is_let_in() {
+fn a_client_waiting_without_free_descriptors_at_shutdown_is_accepted() {
     let discovery = FlakyDiscovery::start("");
     let mut node = start("emfile-end", discovery.address, 256, 256);
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
@@ -198,7 +216,7 @@
     waiting.send(&["PING"]);
     node.signal("TERM");
     node.logged("stopping");
-    // Beyond the time in which it lets in.
+    // Longer than the node accepts new clients.
     thread::sleep(Duration::from_millis(1000));
     allow(256);
     assert_eq!(waiting.answer(), "+PONG");
--- a/crates/mothpier/tests/endings.rs
+++ b/crates/mothpier/tests/endings.rs
@@ -1,4 +1,4 @@
-//! The end of a process and of a connection, at the instant in which something is still owed.
+//! Shutdown of a process and close of a connection while requests or answers are still outstanding.
 #![allow(missing_docs)]
 
 use std::io::{ErrorKind, Read, Write};
@@ -11,43 +11,46 @@
 
 use mothpier_world::loopback::*;
 
-/// After SIGTERM the node lets clients in for so long, and is shut a little later at the latest.
-const SHUT: Duration = Duration::from_millis(700);
-/// The node may take so long from SIGTERM to its end: 3 s, for deadlines are longer, and 0.6 s more.
-const LONGEST: Duration = Duration::from_millis(3600);
+/// Time after SIGTERM by which the node has stopped accepting clients.
+const ACCEPT_END: Duration = Duration::from_millis(700);
+/// Longest time from SIGTERM to the end of the process: 3 s for requests with longer deadlines, and 0.6 s for
+/// accepting.
+const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3600);
+/// Request fields of a read with a deadline longer than the shutdown.
 const READ: &str = "c=read,t=acme,d=19000";
 
 fn get(key: &str, id: &str) -> String {
-    let words: String =
+    let arguments: String =
         ["CACHE.GET", key, id, READ].iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
-    format!("*4\r\n{words}")
+    format!("*4\r\n{arguments}")
 }
 
-/// A cache server that holds nothing and an origin that answers once its gate is open, with word of its calls.
-fn held_origin() -> (String, Arc<Gate>, Receiver<()>) {
+/// Starts a cache server that always misses and an origin that answers once its gate is open. Returns their
+/// list entries, the gate and a channel that reports each call to the origin.
+fn gated_origin() -> (String, Arc<Gate>, Receiver<()>) {
     let gate = Arc::new(Gate::default());
-    let (called, calls) = channel();
-    let (held, called) = (gate.clone(), Mutex::new(called));
+    let (call_sender, calls) = channel();
+    let (origin_gate, call_sender) = (gate.clone(), Mutex::new(call_sender));
     let server = serve(command, |_| miss());
     let origin = serve(call, move |_| {
-        let _ = called.lock().unwrap().send(());
-        held.pass();
+        let _ = call_sender.lock().unwrap().send(());
+        origin_gate.pass();
         http("200 OK", "v")
     });
     let members = [member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")].join(",");
     (members, gate, calls)
 }
 
-/// Clients whom the machine has let in and the node has no room for, as it ends: each has asked, and is answered as
-/// others close.
+/// The node is at its connection limit when it shuts down, and further clients wait in the accept queue of
+/// the kernel: each has sent a request, which must be answered once other connections close.
 #[test]
-fn who_waits_in_the_accept_queue_at_the_limit_is_answered_at_the_end() {
-    let (members, gate, calls) = held_origin();
+fn clients_in_the_accept_queue_at_the_connection_limit_are_answered_at_shutdown() {
+    let (members, gate, calls) = gated_origin();
     let mut node = Node::start_with("queue", &Discovery::start(&members), 64, "");
-    // One fetch, behind which all others wait: their connections are never idle and none gives way.
+    // All clients wait for the same fetch, so that no connection is idle and none is closed to make room.
     let mut clients: Vec<Client> = Vec::new();
     for i in 0..40 {
-        // Each asks as it comes: one that rests may have to give way.
+        // Each sends its request at once, because an idle connection may be closed to make room.
         clients.push(node.client());
         clients[i].write(get("hot", &format!("i{i}")));
         if i == 0 {
@@ -56,8 +59,8 @@
     }
     node.signal("TERM");
     node.logged("stopping");
-    // The crossing: what comes last waits beyond the end of letting in.
-    thread::sleep(SHUT);
+    // The last clients still wait in the queue when the node stops accepting.
+    thread::sleep(ACCEPT_END);
     gate.open();
     for (i, client) in clients.iter_mut().enumerate() {
         let answer = client.answer();
@@ -66,18 +69,18 @@
     assert!(node.ended().success());
 }
 
-/// A client behind each of whose whole commands stands a part of the next: at no time it is between two requests, and at
-/// no time nothing has come of a command. It is cut off as well, with an answer to all that came whole before.
+/// Each write ends one command and begins the next, so the connection is never between two requests and never
+/// without progress. Shutdown must close it as well, after an answer to each complete command.
 #[test]
-fn a_client_that_always_has_half_a_command_out_is_cut_off_too() {
+fn a_client_that_always_has_half_a_command_sent_is_cut_off_at_shutdown() {
     let server = serve(command, |asked| array(&asked[2]));
     let mut node = Node::start("halves", &Discovery::start(&member("s-1", server, "m", "ready")));
     let mut stream = TcpStream::connect(node.address).unwrap();
     stream.set_nodelay(true).unwrap();
-    let mut reading = stream.try_clone().unwrap();
+    let mut read_half = stream.try_clone().unwrap();
     let answers = thread::spawn(move || {
         let mut all = String::new();
-        let _ = reading.read_to_string(&mut all);
+        let _ = read_half.read_to_string(&mut all);
         all
     });
     let writer = thread::spawn(move || {
@@ -85,7 +88,7 @@
         let mut rest = String::new();
         for command in commands {
             let (half, next) = command.split_at(20);
-            // The end of one and the beginning of the next come at once.
+            // The end of one command and the start of the next arrive together.
             if stream.write_all((rest + half).as_bytes()).is_err() {
                 return;
             }
@@ -96,75 +99,80 @@
     thread::sleep(Duration::from_millis(100));
     node.signal("TERM");
     node.logged("stopping");
-    let since = Instant::now();
+    let started_at = Instant::now();
     let answers = answers.join().unwrap();
-    assert!(since.elapsed() < LONGEST - Duration::from_millis(600), "cut off after {:?}", since.elapsed());
+    assert!(
+        started_at.elapsed() < SHUTDOWN_LIMIT - Duration::from_millis(600),
+        "cut off after {:?}",
+        started_at.elapsed()
+    );
     writer.join().unwrap();
     assert!(node.ended().success());
-    // One to each command in its turn; a busy machine may have it refused.
+    // One answer to each command, in order; on a busy machine some are refusals.
     let (mut lines, mut answered) = (answers.split_terminator("\r\n"), 0);
     while let Some(line) = lines.next() {
         let value = format!("{answered:04}");
-        let fits = match line {
+        let expected = match line {
             "$4" => lines.next() == Some(&value),
             _ => line.starts_with("-BUSY "),
         };
-        assert!(fits, "answer {answered} begins with {line:?}");
+        assert!(expected, "answer {answered} begins with {line:?}");
         answered += 1;
     }
     assert!(answered > 20, "{answers:.300}");
 }
 
-/// A request that may take longer than the process has: its answer comes before the end.
+/// A request whose deadline is later than the longest shutdown must get a refusal, not a closed connection.
 #[test]
-fn the_last_answers_come_before_the_end_of_the_process() {
-    let (members, _gate, calls) = held_origin();
+fn the_last_answers_are_sent_before_the_process_ends() {
+    let (members, _gate, calls) = gated_origin();
     let mut node = Node::start("last", &Discovery::start(&members));
     let mut client = node.client();
     client.write(get("k", "i1"));
     calls.recv_timeout(HUNG).unwrap();
     node.signal("TERM");
-    let since = Instant::now();
+    let started_at = Instant::now();
     let answer = client.answer();
     assert!(answer.starts_with("-BUSY "), "{answer}");
-    assert!(since.elapsed() < LONGEST, "{:?}", since.elapsed());
+    assert!(started_at.elapsed() < SHUTDOWN_LIMIT, "{:?}", started_at.elapsed());
     assert!(node.ended().success());
 }
 
-/// What reading from a connection to its end brought, and whether a reset came with it or soon after. A reset behind the
-/// end is heard by nobody who reads, but destroys what is still on its way.
-fn read_on(stream: &mut TcpStream) -> (String, Option<ErrorKind>) {
+/// Reads a connection to its end. Returns the bytes, and the error if a reset came with the end or soon
+/// after. Reading does not show a reset after the end, but the reset destroys data that is still in transit.
+fn read_to_close(stream: &mut TcpStream) -> (String, Option<ErrorKind>) {
     stream.set_read_timeout(Some(HUNG)).unwrap();
     let mut all = Vec::new();
     let end = stream.read_to_end(&mut all).err();
-    // Well within the time that the node gives its client to close.
+    // Well within the time that the node waits for the client to close.
     thread::sleep(Duration::from_millis(50));
     let reset = end.or(stream.take_error().unwrap()).map(|e| e.kind());
     (String::from_utf8_lossy(&all).into_owned(), reset)
 }
 
-/// A client that has sent more than is read when its last answer comes: it hears the end, not a reset that can take the
-/// answer with it.
+/// A client has sent more than the node reads before its last answer. Closing a socket with unread bytes
+/// makes the kernel send a reset, which can destroy that answer.
 #[test]
-fn a_close_over_unread_bytes_is_an_end_and_no_reset() {
+fn closing_with_unread_bytes_does_not_reset_the_connection() {
     let node = Node::start("parting", &Discovery::start(""));
-    let more = vec![b'x'; 60_000];
+    let unread = vec![b'x'; 60_000];
     for (last, answer) in [("*1\r\n$4\r\nQUIT\r\n", "+OK\r\n"), ("!what\r\n", "-ERR protocol")] {
         for _ in 0..10 {
             let mut stream = TcpStream::connect(node.address).unwrap();
             stream.write_all(last.as_bytes()).unwrap();
-            stream.write_all(&more).unwrap();
-            let (all, end) = read_on(&mut stream);
+            stream.write_all(&unread).unwrap();
+            let (all, end) = read_to_close(&mut stream);
             assert!(all.starts_with(answer), "{all}");
-            assert_eq!(end, None, "behind {last:?}");
+            assert_eq!(end, None, "after {last:?}");
         }
     }
 }
 
-/// The same where the process ends: what came behind the cut stays unread, for the client to ask elsewhere.
+/// The same at shutdown: commands that arrive after the node has stopped reading stay unread, so that the
+/// client can send them to another node.
 #[test]
-fn a_close_over_what_came_behind_the_cut_is_an_end_and_no_reset() {
-    let (members, gate, calls) = held_origin();
+fn closing_at_shutdown_with_an_unread_command_does_not_reset_the_connection() {
+    let (members, gate, calls) = gated_origin();
     let mut node = Node::start("behind-the-cut", &Discovery::start(&members));
     let mut stream = TcpStream::connect(node.address).unwrap();
     stream.write_all(get("k", "i1").as_bytes()).unwrap();
@@ -176,16 +184,16 @@
     thread::sleep(Duration::from_millis(150));
     stream.write_all(get("k", "i2").as_bytes()).unwrap();
     gate.open();
-    assert_eq!(read_on(&mut stream), ("$1\r\nv\r\n".into(), None));
+    assert_eq!(read_to_close(&mut stream), ("$1\r\nv\r\n".into(), None));
     drop(stream);
     assert!(node.ended().success());
-    assert_eq!(calls.try_iter().count(), 0, "what came behind the cut was read");
+    assert_eq!(calls.try_iter().count(), 0, "the late command was read");
 }
 
-/// A signal that comes again, and one that has nothing to do with the end.
+/// A second SIGTERM or a reload during the shutdown must not cut off open requests or restart the node.
 #[test]
-fn told_to_end_twice_and_to_read_its_file_meanwhile_it_ends_as_if_told_once() {
-    let (members, gate, calls) = held_origin();
+fn repeated_sigterm_and_sighup_during_shutdown_change_nothing() {
+    let (members, gate, calls) = gated_origin();
     let mut node = Node::start("twice", &Discovery::start(&members));
     let mut client = node.client();
     client.write(get("k", "i1"));
@@ -197,48 +205,45 @@
     gate.open();
     assert_eq!(client.answer(), "$v");
     assert!(node.ended().success());
-    let gone: SocketAddr = node.address;
-    assert!(TcpStream::connect(gone).is_err());
+    let closed_address: SocketAddr = node.address;
+    assert!(TcpStream::connect(closed_address).is_err());
 }
 
-/// A cache server that resets under a command as each of its bytes has come: what may not run twice is sent once and
-/// failed, what is safe goes to the other server.
+/// A cache server resets the connection after each number of received bytes. A command that must not run
+/// twice is sent once and fails; a safe one is retried at the other server.
 #[test]
-fn a_reset_under_a_command_at_each_of_its_bytes_is_no_proof_that_it_did_not_run() {
+fn a_reset_after_any_byte_of_a_command_does_not_prove_that_it_did_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let resets = listener.local_addr().unwrap();
-    let (after, begun) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-    let (taken, count) = (after.clone(), begun.clone());
+    let resetting_server = listener.local_addr().unwrap();
+    let (reset_after, received) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+    let (bytes_to_read, received_count) = (reset_after.clone(), received.clone());
     thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
-            let mut bytes = vec![0; taken.load(Ordering::SeqCst)];
-            // A connection that brings nothing is only closed.
+            let mut bytes = vec![0; bytes_to_read.load(Ordering::SeqCst)];
+            // A connection that sends fewer bytes is closed without counting it.
             if stream.read_exact(&mut bytes).is_ok() {
-                count.fetch_add(1, Ordering::SeqCst);
+                received_count.fetch_add(1, Ordering::SeqCst);
             }
             socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
         }
     });
-    let node = Node::start("resets", &Discovery::start(&member("s-1", resets, "m", "ready")));
+    let node = Node::start("resets", &Discovery::start(&member("s-1", resetting_server, "m", "ready")));
     let mut client = node.client();
     let length = get("k", "00").len() - "CACHE.GET".len();
     for bytes in 1..=length {
-        after.store(bytes, Ordering::SeqCst);
-        let (before, id) = (begun.load(Ordering::SeqCst), format!("{bytes:02}"));
+        reset_after.store(bytes, Ordering::SeqCst);
+        let (before, id) = (received.load(Ordering::SeqCst), format!("{bytes:02}"));
         let answer = client.ask(&["CACHE.GET", "k", &id, "c=once,t=acme,d=19000"]);
-        assert_eq!(answer, "-ERR failed", "reset behind {bytes} of its bytes");
-        assert_eq!(begun.load(Ordering::SeqCst) - before, 1, "reset behind {bytes} of its bytes");
+        assert_eq!(answer, "-ERR failed", "reset after {bytes} bytes");
+        assert_eq!(received.load(Ordering::SeqCst) - before, 1, "reset after {bytes} bytes");
     }
     let safe = serve(command, |_| array("v"));
-    let both = [member("s-1", resets, "m", "ready"), member("s-2", safe, "m", "ready")].join(",");
+    let both = [member("s-1", resetting_server, "m", "ready"), member("s-2", safe, "m", "ready")].join(",");
     let node = Node::start("resets-safe", &Discovery::start(&both));
     let mut client = node.client();
     for bytes in 1..=length {
-        after.store(bytes, Ordering::SeqCst);
+        reset_after.store(bytes, Ordering::SeqCst);
         let answer = client.ask(&["CACHE.GET", &format!("k{bytes}"), &format!("{bytes:02}"), READ]);
-        assert!(
-            answer == "$v" || answer.starts_with("-BUSY "),
-            "reset behind {bytes} of its bytes: {answer}"
-        );
+        assert!(answer == "$v" || answer.starts_with("-BUSY "), "reset after {bytes} bytes: {answer}");
     }
 }
