--- a/crates/mothpier/tests/cluster.rs
+++ b/crates/mothpier/tests/cluster.rs
@@ -94,12 +94,12 @@
         let mut requests_by_owner = [0; 2];
         for (n, (key, owner)) in keys_with_owners().enumerate() {
             let get = CustomCommand::new_static("CACHE.GET", ClusterHash::FirstKey, false);
-            let words = vec![key.clone(), format!("g{n}"), "c=read,t=acme,d=9000".into()];
-            let value: String = client.custom(get, words).await.unwrap();
+            let arguments = vec![key.clone(), format!("g{n}"), "c=read,t=acme,d=9000".into()];
+            let value: String = client.custom(get, arguments).await.unwrap();
             assert_eq!(value, format!("node{owner}"), "{key}");
             let set = CustomCommand::new_static("CACHE.SET", ClusterHash::FirstKey, false);
-            let words = vec![key.clone(), format!("s{n}"), "c=once,t=acme,d=9000".into(), "new".into()];
-            let value: String = client.custom(set, words).await.unwrap();
+            let arguments = vec![key.clone(), format!("s{n}"), "c=once,t=acme,d=9000".into(), "new".into()];
+            let value: String = client.custom(set, arguments).await.unwrap();
             assert_eq!(value, format!("written{owner}"), "{key}");
             requests_by_owner[owner] += 1;
         }
@@ -186,7 +186,7 @@
     let node = Node::start("plain", &discovery);
     let mut client = node.client();
     let disabled = "-ERR This instance has cluster support disabled";
-    for (words, answer) in [
+    for (arguments, answer) in [
         (&["CLUSTER", "SLOTS"][..], disabled),
         (&["READONLY"], disabled),
         (&["CLIENT", "SETINFO", "LIB-NAME", "x"], "+OK"),
@@ -196,7 +196,7 @@
         (&["GET", "k"], "-ERR unknown command"),
         (&["PING"], "+PONG"),
     ] {
-        assert_eq!(client.ask(words), answer, "{words:?}");
+        assert_eq!(client.ask(arguments), answer, "{arguments:?}");
     }
 }
 
--- a/crates/mothpier/tests/descriptors.rs
+++ b/crates/mothpier/tests/descriptors.rs
@@ -56,9 +56,9 @@
 
 /// Sends requests that nobody answers, a new one after each refusal.
 fn send_unanswered_requests(client: &mut Client) {
-    static ASKED: AtomicUsize = AtomicUsize::new(0);
+    static REQUESTS_SENT: AtomicUsize = AtomicUsize::new(0);
     loop {
-        let id = format!("w{}", ASKED.fetch_add(1, Ordering::Relaxed));
+        let id = format!("w{}", REQUESTS_SENT.fetch_add(1, Ordering::Relaxed));
         let sent = client.try_send(&["CACHE.SET", &id, &id, "c=once,t=acme,d=19000", "v"]);
         if !sent || client.answer() == "end" {
             return;
--- a/crates/mothpier/tests/endings.rs
+++ b/crates/mothpier/tests/endings.rs
@@ -17,11 +17,11 @@
 /// accepting.
 const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3600);
 /// Request fields of a read with a deadline longer than the shutdown.
-const READ: &str = "c=read,t=acme,d=19000";
+const READ_FIELDS: &str = "c=read,t=acme,d=19000";
 
 fn get(key: &str, id: &str) -> String {
     let arguments: String =
-        ["CACHE.GET", key, id, READ].iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
+        ["CACHE.GET", key, id, READ_FIELDS].iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
     format!("*4\r\n{arguments}")
 }
 
@@ -73,7 +73,7 @@
 /// without progress. Shutdown must close it as well, after an answer to each complete command.
 #[test]
 fn a_client_that_always_has_half_a_command_sent_is_cut_off_at_shutdown() {
-    let server = serve(command, |asked| array(&asked[2]));
+    let server = serve(command, |request| array(&request[2]));
     let mut node = Node::start("halves", &Discovery::start(&member("s-1", server, "m", "ready")));
     let mut stream = TcpStream::connect(node.address).unwrap();
     stream.set_nodelay(true).unwrap();
@@ -243,7 +243,7 @@
     let mut client = node.client();
     for bytes in 1..=length {
         reset_after.store(bytes, Ordering::SeqCst);
-        let answer = client.ask(&["CACHE.GET", &format!("k{bytes}"), &format!("{bytes:02}"), READ]);
+        let answer = client.ask(&["CACHE.GET", &format!("k{bytes}"), &format!("{bytes:02}"), READ_FIELDS]);
         assert!(answer == "$v" || answer.starts_with("-BUSY "), "reset after {bytes} bytes: {answer}");
     }
 }
--- a/crates/mothpier/tests/restarts.rs
+++ b/crates/mothpier/tests/restarts.rs
@@ -116,27 +116,27 @@
 fn free_addresses(count: usize) -> Vec<SocketAddr> {
     let first = 20_000 + (std::process::id() % 8000) as u16;
     let addresses = (first..32_000).map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
-    addresses.filter(|at| TcpListener::bind(at).is_ok()).take(count).collect()
+    addresses.filter(|address| TcpListener::bind(address).is_ok()).take(count).collect()
 }
 
 /// Starts a node process. `known` is the server list that the platform wrote into its configuration;
 /// `polls` selects the discovery mode `ask`, else `push`.
-fn start(name: &str, at: SocketAddr, service: &Service, polls: bool, known: &str) -> Node {
+fn start(name: &str, address: SocketAddr, service: &Service, polls: bool, known: &str) -> Node {
     let mut command = node_command(name, service.address, SOCKETS, "");
     let discovery = if polls { "ask" } else { "push" };
     let text = config(name, service.address, SOCKETS)
         .replace(r#""discovery":"push""#, &format!(r#""discovery":"{discovery}""#))
         .replacen('{', &format!(r#"{{"known":{{"revision":1,"complete":true,"members":[{known}]}},"#), 1);
     std::fs::write(config_path(name), text).unwrap();
-    command.env("ROUTER_LISTEN", at.to_string());
+    command.env("ROUTER_LISTEN", address.to_string());
     Node::spawn(command)
 }
 
 fn get(key: usize) -> String {
     let (key, id) = (format!("k{}", key % 500), format!("i{key}"));
-    let words = ["CACHE.GET", &key, &id, "c=read,t=acme,d=1000"];
-    let words: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
-    format!("*4\r\n{words}")
+    let arguments = ["CACHE.GET", &key, &id, "c=read,t=acme,d=1000"];
+    let arguments: String = arguments.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
+    format!("*4\r\n{arguments}")
 }
 
 /// Runs clients that send requests continuously and reconnect at once after a close or a timeout.
@@ -205,16 +205,16 @@
 /// Kills a node under load and restarts it.
 fn restart(
     name: &str,
-    at: SocketAddr,
+    address: SocketAddr,
     service: &Service,
     failure: Failure,
     polls: bool,
     known: &str,
 ) -> Restart {
-    let node = start(name, at, service, polls, known);
+    let node = start(name, address, service, polls, known);
     let stopped = Arc::new(AtomicBool::new(false));
     let stop_clients = stopped.clone();
-    let clients = thread::spawn(move || run_clients(at, &stop_clients));
+    let clients = thread::spawn(move || run_clients(address, &stop_clients));
     thread::sleep(Duration::from_millis(300));
     *service.state.lock().unwrap() = Some((failure, Instant::now()));
     drop(node);
@@ -222,12 +222,12 @@
     let (mut last_probe, starting) = ("no probe".to_owned(), AtomicBool::new(true));
     let time_to_ready = thread::scope(|scope| {
         let started = scope.spawn(|| {
-            let node = start(name, at, service, polls, known);
+            let node = start(name, address, service, polls, known);
             starting.store(false, Ordering::SeqCst);
             node
         });
         let ready = loop {
-            let answer = probe(at);
+            let answer = probe(address);
             let time_to_ready = started_at.elapsed();
             if answer == "+PONG" || time_to_ready > READY_TIMEOUT {
                 break time_to_ready;
@@ -264,11 +264,11 @@
             let running: Vec<_> = batch
                 .iter()
                 .map(|&n| {
-                    let (known, slow_service_lock, at, failure) =
+                    let (known, slow_service_lock, address, failure) =
                         (known.clone(), slow_service_lock.clone(), addresses[n], failures[n]);
                     scope.spawn(move || {
                         let service = Service::start(known.clone(), slow_service_lock);
-                        restart(&format!("restart-{n}"), at, &service, failure, n % 2 == 0, &known)
+                        restart(&format!("restart-{n}"), address, &service, failure, n % 2 == 0, &known)
                     })
                 })
                 .collect();
--- a/crates/mothpier/tests/sidecar.rs
+++ b/crates/mothpier/tests/sidecar.rs
@@ -15,7 +15,8 @@
 use mothpier_config::{Form, Hosts, check, has_errors};
 use mothpier_world::loopback::*;
 
-const FILE: &str = r#"
+/// Configuration file of the application, which the tests extend.
+const APP_FILE: &str = r#"
 app = "profiles"
 tenant = "acme"
 nodes = 1
@@ -44,9 +45,9 @@
 }
 "#;
 
-/// Renders the start configuration of a node from `FILE` and further lines.
+/// Renders the start configuration of a node from `APP_FILE` and further lines.
 fn rendered(extra: &str) -> serde_json::Value {
-    let checked = check(format!("{FILE}{extra}").as_bytes(), Form::Hcl, &Hosts::default());
+    let checked = check(format!("{APP_FILE}{extra}").as_bytes(), Form::Hcl, &Hosts::default());
     let lines: Vec<String> = checked.findings.iter().map(|f| f.line(&checked.text)).collect();
     assert!(!has_errors(&checked.findings), "{lines:#?}");
     render(&checked.app.unwrap())
--- a/crates/mothpier/tests/values.rs
+++ b/crates/mothpier/tests/values.rs
@@ -18,7 +18,7 @@
     (0..length).map(|i| char::from(b'a' + (i * 7 + i / 251) as u8 % 26)).collect()
 }
 
-fn node(name: &str, servers: &[String]) -> Node {
+fn start_node(name: &str, servers: &[String]) -> Node {
     Node::start(name, &Discovery::start(&servers.join(",")))
 }
 
@@ -40,7 +40,7 @@
     });
     let origin = serve(call, move |_| http("200 OK", &fetched));
     let node =
-        node("large", &[member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")]);
+        start_node("large", &[member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")]);
     let mut client = node.client();
     for (i, (key, length)) in
         [("edge", 64 * 1024), ("over", 64 * 1024 + 1), ("hit", MAX_VALUE_BYTES), ("miss", MAX_VALUE_BYTES)]
@@ -63,7 +63,7 @@
         call_sender.lock().unwrap().send(request.last().unwrap().clone()).unwrap();
         http("200 OK", "done")
     });
-    let node = node("largewrite", &[member("o-1", origin, "origin", "ready")]);
+    let node = start_node("largewrite", &[member("o-1", origin, "origin", "ready")]);
     let mut client = node.client();
     let full_value = value(MAX_VALUE_BYTES);
     assert_eq!(client.ask(&["CACHE.SET", "k", "w1", "c=once,t=acme,d=9000", &full_value]), "$done");
@@ -77,7 +77,7 @@
 }
 
 /// Starts a cache server that answers each command by running the script of the test.
-fn scripted(script: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
+fn scripted_server(script: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let script = Arc::new(script);
@@ -99,11 +99,11 @@
 /// client.
 #[test]
 fn a_truncated_value_closes_the_connection_and_is_never_delivered_as_whole() {
-    let server = scripted(|stream| {
+    let server = scripted_server(|stream| {
         let _ = stream.write_all(format!("*3\r\n${MAX_VALUE_BYTES}\r\n{}", value(100_000)).as_bytes());
         let _ = stream.shutdown(std::net::Shutdown::Both);
     });
-    let node = node("cut", &[member("s-1", server, "m", "ready")]);
+    let node = start_node("cut", &[member("s-1", server, "m", "ready")]);
     let mut stream = TcpStream::connect(node.address).unwrap();
     stream.set_read_timeout(Some(HUNG)).unwrap();
     stream
@@ -122,7 +122,7 @@
 fn a_value_may_arrive_in_pieces_and_finish_after_its_deadline() {
     let (permit, permits) = channel::<()>();
     let permits = Mutex::new(permits);
-    let server = scripted(move |stream| {
+    let server = scripted_server(move |stream| {
         let text = format!("*3\r\n$70000\r\n{}\r\n$3\r\nhit\r\n$-1\r\n", value(70_000));
         let (first, rest) = text.as_bytes().split_at(30_000);
         for piece in first.chunks(997) {
@@ -132,7 +132,7 @@
         let _ = permits.lock().unwrap().recv();
         rest.chunks(1009).for_each(|piece| stream.write_all(piece).unwrap());
     });
-    let node = node("pieces", &[member("s-1", server, "m", "ready")]);
+    let node = start_node("pieces", &[member("s-1", server, "m", "ready")]);
     let (mut slow, mut other) = (node.client(), node.client());
     slow.send(&["CACHE.GET", "k", "i", "c=brief,t=acme,d=400"]);
     // Another request of the same class reaches its deadline meanwhile, so the deadline of the first has
@@ -160,7 +160,7 @@
         command,
         move |request| if request[1].starts_with('s') { array("s") } else { array(&full_value) },
     );
-    let node = node("slowread", &[member("s-1", server, "m", "ready")]);
+    let node = start_node("slowread", &[member("s-1", server, "m", "ready")]);
     // Returns the median and the 99th percentile of the duration of 300 small requests, microseconds.
     let small_request_times = |name: &str| {
         let mut client = node.client();
@@ -200,7 +200,7 @@
 #[test]
 fn writes_beyond_the_memory_limit_are_refused_before_their_value_is_read() {
     let origin = serve(call, |_| http("200 OK", "done"));
-    let node = node("nofit", &[member("o-1", origin, "origin", "ready")]);
+    let node = start_node("nofit", &[member("o-1", origin, "origin", "ready")]);
     // Half of 192 MB is reserved for what clients send: fewer than 30 writers of 4 MB use it up before they
     // send a value.
     let head = |id: &str| {
