--- a/crates/mothpier/tests/departures.rs
+++ b/crates/mothpier/tests/departures.rs
@@ -1,5 +1,6 @@
-//! Clients that leave while their requests wait: nothing is sent on for them 0.1 s later, whatever their connection is
-//! busy with. Judged at the far ends, by the ids that come in there.
+//! Clients that disconnect while their requests wait: the node forwards none of those requests later than 0.1
+//! s after the disconnect, whatever state the connection is in. The cache server and the origin record the
+//! request ids that arrive.
 #![allow(missing_docs)]
 
 use std::collections::HashMap;
@@ -11,218 +12,242 @@
 
 use mothpier_world::loopback::*;
 
-/// Later than this after its client left a request may not be sent on.
-const LATE: Duration = Duration::from_millis(100);
-const LARGE: usize = 4 << 20;
-const FILL: usize = 24;
+/// A request may not be forwarded later than this after its client disconnected.
+const MAX_SEND_DELAY: Duration = Duration::from_millis(100);
+const LARGE_VALUE_BYTES: usize = 4 << 20;
+const FILLER_REQUESTS: usize = 24;
 
-/// When each id last came in at a cache server or the origin.
-type Seen = Arc<Mutex<HashMap<String, Instant>>>;
+/// When each request id last arrived at the cache server or the origin.
+type ArrivalTimes = Arc<Mutex<HashMap<String, Instant>>>;
 
-/// What keeps a connection busy as its client leaves.
+/// State of a client connection when the client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Busy {
-    /// Nothing: commands are read.
-    Reading,
-    /// The last word has been said.
-    Quit,
-    /// What came behind is no command.
-    Garbage,
-    /// An answer of which the client takes nothing.
-    Answer,
+enum ConnectionState {
+    /// The node reads commands.
+    ReadingCommands,
+    /// The client has sent QUIT.
+    QuitSent,
+    /// Invalid bytes follow the request.
+    InvalidInput,
+    /// The node is writing a large answer that the client does not read.
+    WritingAnswer,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum How {
+enum CloseMethod {
     Fin,
     Reset,
 }
 
-/// A cache server that holds nothing but large values, and an origin that answers when the gate is open.
-fn world() -> (Seen, Arc<Gate>, SocketAddr, SocketAddr) {
-    let (seen, gate) = (Seen::default(), Arc::new(Gate::default()));
-    let (at_server, at_origin, held) = (seen.clone(), seen.clone(), gate.clone());
-    let server = serve(command, move |asked| {
-        at_server.lock().unwrap().insert(asked[2].clone(), Instant::now());
-        if asked[1].starts_with("large") { array(&"v".repeat(LARGE)) } else { miss() }
+/// Starts a cache server that holds only the large values, and an origin that answers once the gate is open.
+fn start_servers() -> (ArrivalTimes, Arc<Gate>, SocketAddr, SocketAddr) {
+    let (arrivals, gate) = (ArrivalTimes::default(), Arc::new(Gate::default()));
+    let (server_arrivals, origin_arrivals, origin_gate) = (arrivals.clone(), arrivals.clone(), gate.clone());
+    let server = serve(command, move |request| {
+        server_arrivals.lock().unwrap().insert(request[2].clone(), Instant::now());
+        if request[1].starts_with("large") { array(&"v".repeat(LARGE_VALUE_BYTES)) } else { miss() }
     });
-    let origin = serve(call, move |asked| {
-        let id = asked.iter().find_map(|line| line.strip_prefix("x-request-id: ")).unwrap();
-        at_origin.lock().unwrap().insert(id.to_owned(), Instant::now());
-        held.pass();
+    let origin = serve(call, move |request| {
+        let id = request.iter().find_map(|line| line.strip_prefix("x-request-id: ")).unwrap();
+        origin_arrivals.lock().unwrap().insert(id.to_owned(), Instant::now());
+        origin_gate.pass();
         http("200 OK", "v")
     });
-    (seen, gate, server, origin)
+    (arrivals, gate, server, origin)
 }
 
-fn get(key: &str, id: &str) -> String {
-    let words = ["CACHE.GET", key, id, "c=read,t=acme,d=19000"];
-    let words: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
-    format!("*4\r\n{words}")
+fn get_command(key: &str, id: &str) -> String {
+    let arguments = ["CACHE.GET", key, id, "c=read,t=acme,d=19000"];
+    let arguments: String =
+        arguments.iter().map(|argument| format!("${}\r\n{argument}\r\n", argument.len())).collect();
+    format!("*4\r\n{arguments}")
 }
 
-/// Numbers that look drawn, the same each time.
-struct Draw(u64);
+/// Linear congruential generator: pseudo-random numbers that are the same in every run.
+struct Lcg(u64);
 
-impl Draw {
-    fn below(&mut self, most: u64) -> u64 {
+impl Lcg {
+    fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % most
+        (self.0 >> 33) % limit
     }
 }
 
-fn leave(stream: TcpStream, how: How) -> Option<TcpStream> {
-    match how {
-        How::Fin => {
+fn disconnect(stream: TcpStream, method: CloseMethod) -> Option<TcpStream> {
+    match method {
+        CloseMethod::Fin => {
             stream.shutdown(Shutdown::Write).unwrap();
             Some(stream)
         }
-        How::Reset => {
+        CloseMethod::Reset => {
             socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
             None
         }
     }
 }
 
-fn count(seen: &Seen, what: impl Fn(&str) -> bool) -> usize {
-    seen.lock().unwrap().keys().filter(|id| what(id)).count()
+fn count(arrivals: &ArrivalTimes, matches: impl Fn(&str) -> bool) -> usize {
+    arrivals.lock().unwrap().keys().filter(|id| matches(id)).count()
 }
 
-/// Waits until so many ids have come in that are meant.
-fn until(seen: &Seen, many: usize, what: impl Fn(&str) -> bool) {
-    let began = Instant::now();
-    while count(seen, &what) < many {
-        assert!(began.elapsed() < HUNG, "{} of {many} came in", count(seen, &what));
+/// Waits until the expected number of matching ids has arrived.
+fn wait_for_arrivals(arrivals: &ArrivalTimes, expected: usize, matches: impl Fn(&str) -> bool) {
+    let started = Instant::now();
+    while count(arrivals, &matches) < expected {
+        assert!(started.elapsed() < HUNG, "{} of {expected} arrived", count(arrivals, &matches));
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Fetches more than the gate before the origin lets through at once. One after the other, for a node that has just
-/// started takes no more than its server has shown to answer.
-fn fill(node: &Node, seen: &Seen) -> Client {
+/// Sends more fetches than the node's limit on concurrent origin calls allows, so that later ones must wait.
+/// They are sent one after the other because a node that has just started admits only as much as its server
+/// has been seen to answer.
+fn occupy_origin(node: &Node, arrivals: &ArrivalTimes) -> Client {
     let mut filler = node.client();
-    for i in 0..FILL {
-        filler.write(get(&format!("filler{i}"), &format!("fill{i}")));
-        until(seen, i + 1, |id| id.starts_with("fill"));
+    for i in 0..FILLER_REQUESTS {
+        filler.write(get_command(&format!("filler{i}"), &format!("fill{i}")));
+        wait_for_arrivals(arrivals, i + 1, |id| id.starts_with("fill"));
     }
     filler
 }
 
-/// Requests wait in two ways, for a place at the origin and for the fetch of their key; half of their clients leave at
-/// drawn instants, in every state and both ways. When the origin answers again those who stayed are served, and of those
-/// who left nothing more comes in anywhere.
+/// Requests wait either for a free call slot at the origin or for a pending fetch of the same key, while
+/// their clients disconnect at random times, in each connection state, by FIN or reset. When the origin
+/// answers again, the remaining clients are served. The test fails if the node then forwards a request of a
+/// disconnected client.
 #[test]
 fn nothing_is_sent_on_for_clients_that_left_while_they_waited() {
-    let (seen, gate, server, origin) = world();
+    let (arrivals, gate, server, origin) = start_servers();
     let members = [member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")].join(",");
     let node = Node::start("departures", &Discovery::start(&members));
-    let mut draw = Draw(7);
-    let mut stay = vec![node.client()];
-    stay[0].write(get("hot", "first"));
-    until(&seen, 1, |id| id == "first");
-    let _filler = fill(&node, &seen);
-    let (mut leaving, mut left) = (Vec::new(), Vec::new());
-    let states = [Busy::Reading, Busy::Quit, Busy::Garbage, Busy::Answer];
+    let mut random = Lcg(7);
+    let mut staying = vec![node.client()];
+    staying[0].write(get_command("hot", "first"));
+    wait_for_arrivals(&arrivals, 1, |id| id == "first");
+    let _filler = occupy_origin(&node, &arrivals);
+    let (mut leaving, mut departed) = (Vec::new(), Vec::new());
+    let states = [
+        ConnectionState::ReadingCommands,
+        ConnectionState::QuitSent,
+        ConnectionState::InvalidInput,
+        ConnectionState::WritingAnswer,
+    ];
     for i in 0..320 {
-        // Large answers are few: each is of some megabytes, and holds a connection to the server.
-        let busy = states[if i % 64 == 3 { 3 } else { i % 3 }];
-        let how = if i % 2 == 0 { How::Fin } else { How::Reset };
+        // Few large answers, because each is several megabytes and occupies a connection to the server.
+        let state = states[if i % 64 == 3 { 3 } else { i % 3 }];
+        let method = if i % 2 == 0 { CloseMethod::Fin } else { CloseMethod::Reset };
         let mut stream = TcpStream::connect(node.address).unwrap();
         let id = format!("gone{i}");
-        if busy == Busy::Answer {
+        if state == ConnectionState::WritingAnswer {
             for n in 0..2 {
-                stream.write_all(get(&format!("large{i}-{n}"), &format!("large{i}-{n}")).as_bytes()).unwrap();
+                stream
+                    .write_all(get_command(&format!("large{i}-{n}"), &format!("large{i}-{n}")).as_bytes())
+                    .unwrap();
             }
         }
         let hot = i % 4 == 1;
         let key = if hot { "hot".to_owned() } else { format!("own{i}") };
-        stream.write_all(get(&key, &id).as_bytes()).unwrap();
+        stream.write_all(get_command(&key, &id).as_bytes()).unwrap();
         if !hot {
-            until(&seen, 1, |seen| seen == id);
+            wait_for_arrivals(&arrivals, 1, |arrived| arrived == id);
         }
-        match busy {
-            Busy::Quit => stream.write_all(b"*1\r\n$4\r\nQUIT\r\n").unwrap(),
-            Busy::Garbage => stream.write_all(b"!what\r\n").unwrap(),
-            Busy::Reading | Busy::Answer => {}
+        match state {
+            ConnectionState::QuitSent => stream.write_all(b"*1\r\n$4\r\nQUIT\r\n").unwrap(),
+            ConnectionState::InvalidInput => stream.write_all(b"!what\r\n").unwrap(),
+            ConnectionState::ReadingCommands | ConnectionState::WritingAnswer => {}
         }
-        leaving.push((draw.below(800), id, busy, how, stream));
+        leaving.push((random.below(800), id, state, method, stream));
         if i % 16 == 8 {
             let mut client = node.client();
-            client.write(get(&format!("stays{i}"), &format!("stays{i}")));
-            until(&seen, 1, |seen| seen == format!("stays{i}"));
-            stay.push(client);
+            client.write(get_command(&format!("stays{i}"), &format!("stays{i}")));
+            wait_for_arrivals(&arrivals, 1, |arrived| arrived == format!("stays{i}"));
+            staying.push(client);
         }
     }
-    leaving.sort_by_key(|(at, ..)| *at);
-    let (began, mut open) = (Instant::now(), Vec::new());
-    for (at, id, busy, how, stream) in leaving {
-        thread::sleep(Duration::from_millis(at).saturating_sub(began.elapsed()));
-        open.extend(leave(stream, how));
-        left.push((id, busy, how, Instant::now()));
+    leaving.sort_by_key(|(delay_ms, ..)| *delay_ms);
+    let (started, mut half_open) = (Instant::now(), Vec::new());
+    for (delay_ms, id, state, method, stream) in leaving {
+        thread::sleep(Duration::from_millis(delay_ms).saturating_sub(started.elapsed()));
+        half_open.extend(disconnect(stream, method));
+        departed.push((id, state, method, Instant::now()));
     }
-    thread::sleep(LATE);
+    thread::sleep(MAX_SEND_DELAY);
     gate.open();
-    for client in &mut stay {
+    for client in &mut staying {
         assert_eq!(client.answer(), "$v");
     }
-    let seen = seen.lock().unwrap();
-    let late = left.iter().filter(|(id, .., at)| seen.get(id).is_some_and(|came| *came > *at + LATE));
-    let late: Vec<_> = late.map(|(id, busy, how, _)| (id, busy, how)).collect();
-    assert!(late.is_empty(), "{} of {} sent on: {late:?}", late.len(), left.len());
+    let arrivals = arrivals.lock().unwrap();
+    let late_arrivals = departed.iter().filter(|(id, .., left_at)| {
+        arrivals.get(id).is_some_and(|arrived| *arrived > *left_at + MAX_SEND_DELAY)
+    });
+    let late_arrivals: Vec<_> = late_arrivals.map(|(id, state, method, _)| (id, state, method)).collect();
+    assert!(
+        late_arrivals.is_empty(),
+        "{} of {} disconnected clients had a request forwarded: {late_arrivals:?}",
+        late_arrivals.len(),
+        departed.len()
+    );
 }
 
-/// After SIGTERM what comes on a connection that is owed an answer is left unread; that its client leaves is seen.
+/// After SIGTERM the node stops reading from connections that still wait for an answer. It must notice a
+/// disconnect there nevertheless: neither a waiting request of a disconnected client nor one sent after
+/// SIGTERM is forwarded.
 #[test]
 fn nothing_is_sent_on_for_clients_that_leave_after_the_cut() {
-    let (seen, gate, server, origin) = world();
+    let (arrivals, gate, server, origin) = start_servers();
     let members = [member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")].join(",");
     let node = Node::start("cut-departures", &Discovery::start(&members));
-    let mut filler = fill(&node, &seen);
+    let mut filler = occupy_origin(&node, &arrivals);
     let mut leaving: Vec<_> = (0..100)
         .map(|i| {
             let mut stream = TcpStream::connect(node.address).unwrap();
-            stream.write_all(get(&format!("own{i}"), &format!("gone{i}")).as_bytes()).unwrap();
-            until(&seen, 1, |id| id == format!("gone{i}"));
+            stream.write_all(get_command(&format!("own{i}"), &format!("gone{i}")).as_bytes()).unwrap();
+            wait_for_arrivals(&arrivals, 1, |id| id == format!("gone{i}"));
             (i, stream)
         })
         .collect();
     node.signal("TERM");
-    // A connection between two requests is closed at the cut: from then on nothing is read.
+    // The node closes idle connections when it handles SIGTERM. From then on it reads no requests.
     let mut idle = node.client();
     assert_eq!(idle.ask(&["PING"]), "+PONG");
     assert_eq!(idle.answer(), "end");
     thread::sleep(Duration::from_millis(150));
-    // Unread, in front of the end.
-    leaving.iter_mut().for_each(|(i, s)| s.write_all(get("more", &format!("unread{i}")).as_bytes()).unwrap());
-    let mut open = Vec::new();
-    let mut left = Vec::new();
+    // These requests stay unread, ahead of the FIN or reset.
+    leaving.iter_mut().for_each(|(i, stream)| {
+        stream.write_all(get_command("more", &format!("unread{i}")).as_bytes()).unwrap()
+    });
+    let mut half_open = Vec::new();
+    let mut departed = Vec::new();
     for (i, stream) in leaving {
-        open.extend(leave(stream, if i % 2 == 0 { How::Fin } else { How::Reset }));
-        left.push((format!("gone{i}"), Instant::now()));
+        half_open.extend(disconnect(stream, if i % 2 == 0 { CloseMethod::Fin } else { CloseMethod::Reset }));
+        departed.push((format!("gone{i}"), Instant::now()));
     }
-    thread::sleep(LATE);
+    thread::sleep(MAX_SEND_DELAY);
     gate.open();
-    for _ in 0..FILL {
+    for _ in 0..FILLER_REQUESTS {
         let answer = filler.answer();
         assert!(answer == "$v" || answer.starts_with("-BUSY"), "{answer}");
     }
-    let seen = seen.lock().unwrap();
-    let late = left.iter().filter(|(id, at)| seen.get(id).is_some_and(|came| *came > *at + LATE)).count();
-    assert_eq!(late, 0, "of {} sent on", left.len());
-    assert!(!seen.keys().any(|id| id.starts_with("unread")), "read behind the cut");
+    let arrivals = arrivals.lock().unwrap();
+    let late_arrivals = departed
+        .iter()
+        .filter(|(id, left_at)| arrivals.get(id).is_some_and(|arrived| *arrived > *left_at + MAX_SEND_DELAY))
+        .count();
+    assert_eq!(late_arrivals, 0, "requests forwarded for {} disconnected clients", departed.len());
+    assert!(!arrivals.keys().any(|id| id.starts_with("unread")), "a request sent after SIGTERM was read");
 }
 
-/// A server that lets connections in only while its gate is open. While it is shut, and the machine's queue full, none
-/// comes up: who connects waits, as with a machine that does not answer yet.
-struct Late {
+/// A server that can stop accepting connections. While it does, and the kernel's accept queue is full,
+/// connection attempts stay pending, as they do towards a host that does not answer yet.
+struct GatedServer {
     address: SocketAddr,
-    /// Whether it lets in; held while it does.
-    lets_in: Arc<Mutex<bool>>,
-    open: Arc<Mutex<Vec<TcpStream>>>,
+    /// Whether the server accepts connections; locked during each accept call.
+    accepting: Arc<Mutex<bool>>,
+    connections: Arc<Mutex<Vec<TcpStream>>>,
     fillers: Vec<TcpStream>,
 }
 
-impl Late {
+impl GatedServer {
     fn start(
         read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
         react: impl Fn(&[String]) -> Reaction + Send + Sync + 'static,
@@ -234,25 +259,25 @@
         let listener: std::net::TcpListener = listener.into();
         let address = listener.local_addr().unwrap();
         listener.set_nonblocking(true).unwrap();
-        let (lets_in, open, react) =
+        let (accepting, server_connections, react) =
             (Arc::new(Mutex::new(true)), Arc::<Mutex<Vec<TcpStream>>>::default(), Arc::new(react));
-        let (may, accepted) = (lets_in.clone(), open.clone());
+        let (accept_gate, connections) = (accepting.clone(), server_connections.clone());
         thread::spawn(move || {
             loop {
-                let may = may.lock().unwrap();
-                let come = may.then(|| listener.accept().ok()).flatten();
-                drop(may);
-                let Some((mut stream, _)) = come else {
+                let accepting = accept_gate.lock().unwrap();
+                let accepted = accepting.then(|| listener.accept().ok()).flatten();
+                drop(accepting);
+                let Some((mut stream, _)) = accepted else {
                     thread::sleep(Duration::from_millis(1));
                     continue;
                 };
                 stream.set_nonblocking(false).unwrap();
-                accepted.lock().unwrap().push(stream.try_clone().unwrap());
+                connections.lock().unwrap().push(stream.try_clone().unwrap());
                 let react = react.clone();
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
-                    while let Some(asked) = read(&mut reader) {
-                        let Reaction::Answer(bytes) = react(&asked) else { return };
+                    while let Some(request) = read(&mut reader) {
+                        let Reaction::Answer(bytes) = react(&request) else { return };
                         if stream.write_all(&bytes).is_err() {
                             return;
                         }
@@ -260,49 +285,50 @@
                 });
             }
         });
-        Late { address, lets_in, open, fillers: Vec::new() }
+        GatedServer { address, accepting, connections: server_connections, fillers: Vec::new() }
     }
 
-    /// Lets nobody in any more, and closes what it has let in.
-    fn hold_back(&mut self) {
-        *self.lets_in.lock().unwrap() = false;
-        // The machine's queue is filled, until a connection waits.
+    /// Stops accepting, fills the accept queue and closes the accepted connections.
+    fn stop_accepting(&mut self) {
+        *self.accepting.lock().unwrap() = false;
+        // Fills the kernel's accept queue until a connection attempt stays pending.
         while let Ok(filler) = TcpStream::connect_timeout(&self.address, Duration::from_millis(200)) {
             self.fillers.push(filler);
         }
-        self.open.lock().unwrap().drain(..).for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
+        self.connections.lock().unwrap().drain(..).for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
     }
 
-    fn let_in(&mut self) {
+    fn resume_accepting(&mut self) {
         self.fillers.clear();
-        *self.lets_in.lock().unwrap() = true;
+        *self.accepting.lock().unwrap() = true;
     }
 }
 
-/// Requests wait for a connection that is being made, to a cache server or to the origin, or behind those that do; most of
-/// their clients leave at drawn instants. When the connection comes up those who stayed are served, and of those who left
-/// nothing comes in.
+/// Requests wait for a connection to the cache server or the origin that is still being established, or queue
+/// behind such requests, while most of their clients disconnect at random times. Once the connection is
+/// established, the remaining clients are served. The test fails if the node then forwards a request of a
+/// disconnected client.
 #[test]
 fn nothing_is_sent_on_over_a_connection_that_comes_up_after_its_clients_left() {
     for at_origin in [false, true] {
-        let seen = Seen::default();
-        let note = |seen: &Seen, id: &str| {
-            seen.lock().unwrap().insert(id.to_owned(), Instant::now());
+        let arrivals = ArrivalTimes::default();
+        let record_arrival = |arrivals: &ArrivalTimes, id: &str| {
+            arrivals.lock().unwrap().insert(id.to_owned(), Instant::now());
         };
-        let (there, here) = (seen.clone(), seen.clone());
-        let mut server = Late::start(command, move |asked| {
-            note(&here, &asked[2]);
-            if at_origin && !asked[2].starts_with("warm") { miss() } else { array("v") }
+        let (origin_arrivals, server_arrivals) = (arrivals.clone(), arrivals.clone());
+        let mut server = GatedServer::start(command, move |request| {
+            record_arrival(&server_arrivals, &request[2]);
+            if at_origin && !request[2].starts_with("warm") { miss() } else { array("v") }
         });
-        let mut origin = Late::start(call, move |asked| {
-            let id = asked.iter().find_map(|line| line.strip_prefix("x-request-id: ")).unwrap();
-            note(&there, &format!("origin {id}"));
+        let mut origin = GatedServer::start(call, move |request| {
+            let id = request.iter().find_map(|line| line.strip_prefix("x-request-id: ")).unwrap();
+            record_arrival(&origin_arrivals, &format!("origin {id}"));
             http("200 OK", "v")
         });
         let members =
             [member("s-1", server.address, "m", "ready"), member("o-1", origin.address, "origin", "ready")];
         let node = Node::start(&format!("late-{at_origin}"), &Discovery::start(&members.join(",")));
-        // One that has answered much is sent much.
+        // The node sends many requests at once only to a server that has answered many.
         let mut client = node.client();
         for i in 0..100 {
             assert_eq!(
@@ -310,55 +336,60 @@
                 "$v"
             );
         }
-        let held_back = if at_origin { &mut origin } else { &mut server };
-        held_back.hold_back();
-        let before = seen.lock().unwrap().len();
-        let mut draw = Draw(11);
-        let (mut stay, mut leaving) = (Vec::new(), Vec::new());
+        let gated_server = if at_origin { &mut origin } else { &mut server };
+        gated_server.stop_accepting();
+        let before = arrivals.lock().unwrap().len();
+        let mut random = Lcg(11);
+        let (mut staying, mut leaving) = (Vec::new(), Vec::new());
         for i in 0..110 {
             let stays = i % 11 == 5;
             let id = if stays { format!("stays{i}") } else { format!("gone{i}") };
             let mut client = node.client();
-            client.write(get(&format!("own{i}"), &id));
+            client.write(get_command(&format!("own{i}"), &id));
             if at_origin {
-                until(&seen, 1, |seen| seen == id);
+                wait_for_arrivals(&arrivals, 1, |arrived| arrived == id);
             }
             match stays {
-                true => stay.push(client),
+                true => staying.push(client),
                 false => leaving.push((
-                    draw.below(400),
+                    random.below(400),
                     id,
-                    if i % 2 == 0 { How::Fin } else { How::Reset },
+                    if i % 2 == 0 { CloseMethod::Fin } else { CloseMethod::Reset },
                     client,
                 )),
             }
         }
-        leaving.sort_by_key(|(at, ..)| *at);
-        let (began, mut open, mut left) = (Instant::now(), Vec::new(), Vec::new());
-        for (at, id, how, client) in leaving {
-            thread::sleep(Duration::from_millis(at).saturating_sub(began.elapsed()));
-            open.extend(leave(client.into_stream(), how));
-            left.push((id, Instant::now()));
+        leaving.sort_by_key(|(delay_ms, ..)| *delay_ms);
+        let (started, mut half_open, mut departed) = (Instant::now(), Vec::new(), Vec::new());
+        for (delay_ms, id, method, client) in leaving {
+            thread::sleep(Duration::from_millis(delay_ms).saturating_sub(started.elapsed()));
+            half_open.extend(disconnect(client.into_stream(), method));
+            departed.push((id, Instant::now()));
         }
-        let after = seen.lock().unwrap().len();
+        let after = arrivals.lock().unwrap().len();
         assert_eq!(
             after - before,
             if at_origin { 110 } else { 0 },
-            "a connection came up while it was held back"
+            "a connection was established while the server was not accepting"
         );
-        thread::sleep(LATE);
-        held_back.let_in();
-        for client in &mut stay {
+        thread::sleep(MAX_SEND_DELAY);
+        gated_server.resume_accepting();
+        for client in &mut staying {
             let answer = client.answer();
             assert!(answer == "$v" || answer.starts_with("-BUSY"), "{answer}");
         }
-        let served = count(&seen, |id| id.contains("stays") && id.starts_with("origin") == at_origin);
-        assert!(served > 0, "nobody waited for the connection");
-        let seen = seen.lock().unwrap();
-        let late = left.iter().filter(|(id, at)| {
+        let served = count(&arrivals, |id| id.contains("stays") && id.starts_with("origin") == at_origin);
+        assert!(served > 0, "no request waited for the connection");
+        let arrivals = arrivals.lock().unwrap();
+        let late_arrivals = departed.iter().filter(|(id, left_at)| {
             let id = if at_origin { format!("origin {id}") } else { id.clone() };
-            seen.get(&id).is_some_and(|came| *came > *at + LATE)
+            arrivals.get(&id).is_some_and(|arrived| *arrived > *left_at + MAX_SEND_DELAY)
         });
-        assert_eq!(late.count(), 0, "of {} sent on, at the origin: {at_origin}", left.len());
+        assert_eq!(
+            late_arrivals.count(),
+            0,
+            "requests forwarded for {} disconnected clients, at the origin: {at_origin}",
+            departed.len()
+        );
     }
 }
