--- a/crates/mothpier/tests/failing_start.rs
+++ b/crates/mothpier/tests/failing_start.rs
@@ -1,4 +1,5 @@
-//! A node that starts while the machine has no sockets left for a moment waits for them, and then serves.
+//! A node that starts while connections fail for a moment, as on a machine that has run out of sockets,
+//! retries and then serves.
 #![allow(missing_docs)]
 
 use std::thread;
@@ -7,11 +8,12 @@
 use mothpier_fault_control::Setting;
 use mothpier_world::loopback::*;
 
-const FAILS_FOR: Duration = Duration::from_millis(700);
+const FAULT_DURATION: Duration = Duration::from_millis(700);
 
+/// Guards against a node that exits on the first failed connection at its start.
 #[test]
-fn sockets_that_fail_for_a_moment_at_the_start_end_no_node() {
-    let server = serve(command, |asked| array(&asked[2]));
+fn a_node_survives_sockets_that_fail_for_a_moment_at_its_start() {
+    let server = serve(command, |request| array(&request[2]));
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
     let name = "failing-start";
     let (control, environment) = faults(name);
@@ -19,7 +21,7 @@
     let mut command = node_command(name, discovery.address, 1024, "");
     command.envs(environment);
     thread::spawn(move || {
-        thread::sleep(FAILS_FOR);
+        thread::sleep(FAULT_DURATION);
         control.set(Setting::FailingConnects, 0).unwrap();
     });
     let node = Node::run(command, &discovery);
--- a/crates/mothpier/tests/fleet.rs
+++ b/crates/mothpier/tests/fleet.rs
@@ -1,31 +1,35 @@
-//! A node of a fleet whose coordinators are out of reach, as a process.
+//! A node process of a fleet whose coordinators are unreachable.
 #![allow(missing_docs)]
 
 use std::time::Duration;
 
 use mothpier_world::loopback::{self, Client, Discovery, Node, config_path, node_command};
 
+/// A node that starts without knowing which servers are drained could send requests to them. It must
+/// therefore admit no client until it has heard from the coordinators or `start_alone` has passed, and serve
+/// after that.
 #[test]
-fn a_node_without_its_coordinators_lets_nobody_in_until_its_time_and_then_serves() {
-    let value = |asked: &[String]| loopback::array(asked.get(2).map_or("", |id| id));
-    let server = loopback::serve(loopback::command, value);
+fn a_node_without_coordinators_admits_clients_only_after_its_start_limit() {
+    let answer_id = |request: &[String]| loopback::array(request.get(2).map_or("", |id| id));
+    let server = loopback::serve(loopback::command, answer_id);
     let discovery = Discovery::start(&loopback::member("s-1", server, "m", "ready"));
-    // Nobody listens at the port of a listener that is gone.
-    let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let file = config_path("fleet-alone").with_extension("hcl");
-    let text =
-        format!("cluster = \"f\"\ncoordinators = [\"{gone}\"]\nfleet {{\n  start_alone = \"4s\"\n}}\n");
-    std::fs::write(&file, text).unwrap();
+    // The listener is closed at once, so connections to its port are refused.
+    let unreachable_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let settings_file = config_path("fleet-alone").with_extension("hcl");
+    let settings = format!(
+        "cluster = \"f\"\ncoordinators = [\"{unreachable_address}\"]\nfleet {{\n  start_alone = \"4s\"\n}}\n"
+    );
+    std::fs::write(&settings_file, settings).unwrap();
     let mut command = node_command("fleet-alone", discovery.address, 1024, "");
-    command.env("MOTHPIER_COORDINATION", &file).env("ROUTER_OPERATOR", "127.0.0.1:0");
+    command.env("MOTHPIER_COORDINATION", &settings_file).env("ROUTER_OPERATOR", "127.0.0.1:0");
     let node = Node::run(command, &discovery);
     let mut client = Client::connect(node.address);
     client.send(&["PING"]);
-    let (status, said) = node.call("GET", "/api/ready", "");
+    let (status, body) = node.call("GET", "/api/ready", "");
     assert_eq!(status, 503);
-    assert!(said.contains("who of the fleet is out is not known yet"), "{said}");
+    assert!(body.contains("who of the fleet is out is not known yet"), "{body}");
     std::thread::sleep(Duration::from_millis(300));
-    assert!(!client.answered_already(), "let in before it knew who is out");
+    assert!(!client.answered_already(), "answered before the node knew which servers are drained");
     node.logged("starts without knowing who of the fleet is out");
     assert_eq!(client.answer(), "+PONG");
     assert_eq!(client.ask(&["CACHE.GET", "k", "i1", "c=read,t=acme,d=1500"]), "$i1");
--- a/crates/mothpier/tests/interrupted_signals.rs
+++ b/crates/mothpier/tests/interrupted_signals.rs
@@ -1,4 +1,5 @@
-//! Signals while calls are interrupted (`EINTR`): none ends the node, and none is lost.
+//! Signals that arrive while system calls are interrupted (`EINTR`): no reload ends the node, and no signal
+//! is lost.
 #![allow(missing_docs)]
 
 use std::thread;
@@ -7,28 +8,29 @@
 use mothpier_fault_control::Setting;
 use mothpier_world::loopback::*;
 
-/// Rate of interrupted reads, writes and waits, in thousandths.
-const INTERRUPTED: i64 = 500;
+/// Rate of interrupted reads, writes and waits.
+const INTERRUPTED_PERMILLE: i64 = 500;
 const RELOADS: usize = 30;
-/// How soon each is carried out: a look at the signals, and the interruptions.
-const WITHIN: Duration = Duration::from_secs(2);
+/// Time limit of a reload: the interval at which the node checks for signals, plus the interruptions.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// Guards against a read, write or wait that treats `EINTR` as fatal, or that drops the signal behind it.
 #[test]
-fn signals_under_interrupted_calls_end_nothing_and_are_not_lost() {
-    let server = serve(command, |asked| array(&asked[2]));
+fn signals_during_interrupted_calls_are_neither_fatal_nor_lost() {
+    let server = serve(command, |request| array(&request[2]));
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
     let name = "interrupted-signals";
     let (control, environment) = faults(name);
     let mut command = node_command(name, discovery.address, 1024, "");
     command.envs(environment);
     let mut node = Node::run(command, &discovery);
-    control.set(Setting::Interrupts, INTERRUPTED).unwrap();
+    control.set(Setting::Interrupts, INTERRUPTED_PERMILLE).unwrap();
     for number in 0..RELOADS {
         node.signal("HUP");
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         while node.log_count("configuration read again") == 0 {
             assert!(node.child.try_wait().unwrap().is_none(), "reload {number} ended the node");
-            assert!(sent.elapsed() < WITHIN, "reload {number} is lost");
+            assert!(sent_at.elapsed() < RELOAD_TIMEOUT, "reload {number} was lost");
             thread::sleep(Duration::from_millis(5));
         }
     }
--- a/crates/mothpier/tests/second_answers.rs
+++ b/crates/mothpier/tests/second_answers.rs
@@ -1,4 +1,5 @@
-//! A cache server's second answer to a command is on its way while the next command is written: it is no answer to that one.
+//! A cache server that answers a command twice: its second answer may arrive while the node writes the next
+//! command on the same connection, and must not be taken for the answer to that command.
 #![allow(missing_docs)]
 
 use std::io::{BufReader, Write};
@@ -8,69 +9,69 @@
 
 use mothpier_world::loopback::*;
 
-/// How long a server works on a command.
-const WORK: Duration = Duration::from_millis(20);
-/// Pairs of requests, of which the server answers the first one twice.
-const PAIRS: usize = 12;
-/// How much later a second answer comes.
-const LATER: Duration = Duration::from_millis(2);
-/// Requests, of many keys, that make the servers' pace known.
-const KNOWN: usize = 60;
+/// Time in which a server processes a command.
+const SERVICE_TIME: Duration = Duration::from_millis(20);
+/// Pairs of requests; the server answers the first of each pair twice.
+const REQUEST_PAIRS: usize = 12;
+/// Delay of the second answer.
+const DUPLICATE_DELAY: Duration = Duration::from_millis(2);
+/// Requests with many keys from which the node first learns the servers' response times.
+const WARM_UP_REQUESTS: usize = 60;
 
-/// Answers with the request's id. What is asked first of a pair is answered again in the moment in which the next command comes: as if
-/// the second answer had crossed that command on its way.
-fn serve_connection(mut stream: TcpStream, value: fn(&str) -> String) {
+/// Answers with the request's id. Answers the first command of a pair again as soon as the next command
+/// arrives, as if the second answer had crossed that command on the network.
+fn duplicate_at_next_command(mut stream: TcpStream, value: fn(&str) -> String) {
     stream.set_nodelay(true).unwrap();
-    let mut reading = BufReader::new(stream.try_clone().unwrap());
-    let mut second: Option<Vec<u8>> = None;
-    while let Some(words) = command(&mut reading) {
-        if second.take().is_some_and(|again| stream.write_all(&again).is_err()) {
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    let mut duplicate: Option<Vec<u8>> = None;
+    while let Some(arguments) = command(&mut reader) {
+        if duplicate.take().is_some_and(|answer| stream.write_all(&answer).is_err()) {
             return;
         }
-        let [_, _, id, ..] = &words[..] else {
+        let [_, _, id, ..] = &arguments[..] else {
             stream.write_all(b"+OK\r\n").unwrap();
             continue;
         };
-        thread::sleep(WORK);
+        thread::sleep(SERVICE_TIME);
         let Reaction::Answer(answer) = array(&value(id)) else { unreachable!() };
         if stream.write_all(&answer).is_err() {
             return;
         }
-        second = id.starts_with("first").then_some(answer);
+        duplicate = id.starts_with("first").then_some(answer);
     }
 }
 
-fn server(serve: fn(TcpStream)) -> SocketAddr {
+fn start_server(serve: fn(TcpStream)) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             thread::spawn(move || serve(stream));
         }
     });
-    at
+    address
 }
 
-fn large(id: &str) -> String {
+fn large_value(id: &str) -> String {
     id.repeat(200_000 / id.len())
 }
 
-/// Answers each command twice, the second time some milliseconds later, unless the next command has come by then.
-fn serve_late_seconds(mut stream: TcpStream) {
+/// Answers the first command of each pair twice, the second time a few milliseconds later.
+fn duplicate_after_delay(mut stream: TcpStream) {
     stream.set_nodelay(true).unwrap();
-    let mut reading = BufReader::new(stream.try_clone().unwrap());
-    while let Some(words) = command(&mut reading) {
-        let [_, _, id, ..] = &words[..] else {
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    while let Some(arguments) = command(&mut reader) {
+        let [_, _, id, ..] = &arguments[..] else {
             stream.write_all(b"+OK\r\n").unwrap();
             continue;
         };
-        thread::sleep(WORK);
+        thread::sleep(SERVICE_TIME);
         let Reaction::Answer(answer) = array(id) else { unreachable!() };
         if stream.write_all(&answer).is_err() {
             return;
         }
         if id.starts_with("first") {
-            thread::sleep(LATER);
+            thread::sleep(DUPLICATE_DELAY);
             if stream.write_all(&answer).is_err() {
                 return;
             }
@@ -78,9 +79,10 @@
     }
 }
 
-/// Asks pairs on one connection, one behind the other, and checks that each answer was made for its request.
-fn play(name: &str, serve: fn(TcpStream), value: fn(&str) -> String) -> usize {
-    let servers = [server(serve), server(serve)];
+/// Sends the pairs one after another on one connection and checks that each answer belongs to its request.
+/// Returns how many second requests were served.
+fn send_pairs(name: &str, serve: fn(TcpStream), value: fn(&str) -> String) -> usize {
+    let servers = [start_server(serve), start_server(serve)];
     let discovery = Discovery::start(&format!(
         "{},{}",
         member("s-1", servers[0], "m", "ready"),
@@ -89,36 +91,42 @@
     let node = Node::start(name, &discovery);
     let mut client = node.client();
     let mut ask = |key: &str, id: &str| client.ask(&["CACHE.GET", key, id, "c=read,t=acme,d=5000"]);
-    for number in 0..KNOWN {
+    for number in 0..WARM_UP_REQUESTS {
         let id = format!("known-{number}");
         assert_eq!(ask(&format!("key-{number}"), &id), format!("${}", value(&id)));
     }
     let mut served = 0;
-    for number in 0..PAIRS {
+    for number in 0..REQUEST_PAIRS {
         let (first, next) = (format!("first-{number}"), format!("next-{number}"));
         assert_eq!(ask("key", &first), format!("${}", value(&first)));
-        // Half of all requests need a second attempt, more than the budget of retries has: it is refused then.
+        // Half of all requests need a second attempt, which exceeds the retry budget: the node then refuses
+        // some.
         let answer = ask("key", &next);
         let is_served = answer == format!("${}", value(&next));
-        assert!(is_served || answer.starts_with("-BUSY"), "made for another request: {answer:.80}");
+        assert!(is_served || answer.starts_with("-BUSY"), "answer to another request: {answer:.80}");
         served += usize::from(is_served);
     }
-    assert!(served * 2 >= PAIRS, "{served} of {PAIRS} served");
+    assert!(served * 2 >= REQUEST_PAIRS, "{served} of {REQUEST_PAIRS} served");
     served
 }
 
+/// The second answer arrives after the next command was written: a node that matches answers by order alone
+/// returns it to that command.
 #[test]
 fn a_second_answer_that_crosses_a_command_is_not_taken_for_its_answer() {
-    play("second-answers", |stream| serve_connection(stream, str::to_owned), str::to_owned);
+    send_pairs("second-answers", |stream| duplicate_at_next_command(stream, str::to_owned), str::to_owned);
 }
 
+/// The same with a value large enough to be streamed to the client before it has been read whole.
 #[test]
 fn a_second_answer_with_a_large_value_is_not_passed_on_for_another_command() {
-    play("second-answers-large", |stream| serve_connection(stream, large), large);
+    send_pairs("second-answers-large", |stream| duplicate_at_next_command(stream, large_value), large_value);
 }
 
+/// The second answer arrives 2 ms after the first: a node that reuses the connection at once would lose a
+/// request.
 #[test]
-fn a_second_answer_that_comes_milliseconds_later_finds_no_command_in_its_way() {
-    let served = play("second-answers-late", serve_late_seconds, str::to_owned);
-    assert_eq!(served, PAIRS, "the connection rests until the second answer has come");
+fn a_second_answer_that_comes_milliseconds_later_meets_no_command() {
+    let served = send_pairs("second-answers-late", duplicate_after_delay, str::to_owned);
+    assert_eq!(served, REQUEST_PAIRS, "the connection must stay unused until the second answer has arrived");
 }
