--- a/crates/mothpier/tests/cancellations/main.rs
+++ b/crates/mothpier/tests/cancellations/main.rs
@@ -1,12 +1,13 @@
-//! Clients that close their connection, or cancel by ending their sending on it, at drawn instants: just before a second
-//! copy, before a retry after an error, before a postponed call falls due, in the middle of a pipeline, while the node is
-//! held up, and before it has let them in. Judged at the far ends: no attempt of theirs comes in more than 0.1 s later.
+//! Clients that close, reset or half-close their connection at random times: just before a hedge, before a
+//! retry after an error, before a postponed fetch falls due, in the middle of a pipeline, while the node
+//! process is stopped, and before the node has accepted their connection. The upstream servers record the
+//! attempts: none may arrive more than 0.1 s after the client left.
 //!
-//! `DEPARTURES=1000` sets how many clients leave in all.
+//! `DEPARTURES=1000` sets the total number of clients that leave.
 #![allow(missing_docs)]
 
-mod far_ends;
 mod stalls;
+mod upstreams;
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -15,27 +16,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use far_ends::*;
 use mothpier_world::loopback::*;
 use stalls::Stalls;
+use upstreams::*;
 
-/// An attempt that begins later than this after its client left is a break.
-const LATE: Duration = Duration::from_millis(100);
-/// Clients that leave in all, unless the environment says otherwise.
-const DEPARTURES: usize = 200;
-/// The machine lets in 128 whom the node has not: others would find their connection made seconds later.
-const MOST_LET_IN: usize = 100;
-/// Clients that ask in one round, and the pause between two: retries have a budget that fills up meanwhile.
-const ROUND: usize = 40;
-const PACE: Duration = Duration::from_millis(10);
-/// One client in so many stays, to show that what is feared for the others happens at all.
-const STAYS: usize = 5;
-/// Clients leave within this time of asking: further attempts fall due around its middle and its end.
-const WINDOW_MS: u64 = 350;
-/// Time for what would be sent on too late to come in.
-const SETTLE: Duration = Duration::from_millis(600);
+/// No attempt may begin later than this after its client left.
+const MAX_SEND_DELAY: Duration = Duration::from_millis(100);
+/// Total number of clients that leave, unless set in the environment.
+const DEFAULT_DEPARTURES: usize = 200;
+/// The accept queue takes 128 connections that the node has not accepted; further ones would be established
+/// only seconds later.
+const MAX_QUEUED_CLIENTS: usize = 100;
+/// Number of clients in one round, and the interval between two of them, in which the retry budget refills.
+const CLIENTS_PER_ROUND: usize = 40;
+const CLIENT_INTERVAL: Duration = Duration::from_millis(10);
+/// One client in this many stays connected, to show that further attempts are made at all.
+const ONE_STAYS_IN: usize = 5;
+/// Clients leave within this time of their requests: further attempts fall due around its middle and its end.
+const DEPARTURE_WINDOW_MS: u64 = 350;
+/// Time in which attempts that begin too late would still arrive.
+const SETTLE_TIME: Duration = Duration::from_millis(600);
 
-/// A class for each behaviour of cache servers; `plain` is the traffic beside that keeps retries allowed.
+/// One class for each behaviour of cache servers. The `plain` class is background traffic,
+/// without which the retry budget would be too small for the retries.
 const SETTINGS: &str = r#"{"balancers":1,"me":0,"classes":[
  {"name":"silent","boundTo":[0],"deadlineUs":3000000,"goalTimeUs":600000,"lateValue":1.0,"gain":1.0,"effect":"pure"},
  {"name":"failing","boundTo":[1],"deadlineUs":3000000,"goalTimeUs":600000,"lateValue":1.0,"gain":1.0,"effect":"pure"},
@@ -49,134 +52,144 @@
  "guarantees":{"coldUs":10000000,"drainGraceUs":500000},"periodUs":1000}"#;
 
 fn departures() -> usize {
-    std::env::var("DEPARTURES").ok().and_then(|n| n.parse().ok()).unwrap_or(DEPARTURES)
+    std::env::var("DEPARTURES").ok().and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_DEPARTURES)
 }
 
-/// What a client's requests wait for as it leaves.
+/// What a client's requests wait for when it leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Waits {
-    /// An attempt without an answer: a second copy is due.
-    SecondCopy,
-    /// An attempt that will fail: a retry is due.
+enum PendingWork {
+    /// The attempt gets no answer: a hedge falls due.
+    Hedge,
+    /// The attempt will fail: a retry falls due.
     Retry,
-    /// More fetches than the gate before the origin lets through: they are postponed and fall due again and again.
-    PostponedCall,
-    /// All of these on one connection, with half a command behind.
+    /// More fetches than the node's limit on concurrent origin calls allows: they are postponed repeatedly.
+    PostponedFetch,
+    /// All of these on one connection, followed by an incomplete command.
     Pipeline,
 }
 
-const ALL: [Waits; 4] = [Waits::SecondCopy, Waits::Retry, Waits::PostponedCall, Waits::Pipeline];
+const ALL_PENDING_WORK: [PendingWork; 4] =
+    [PendingWork::Hedge, PendingWork::Retry, PendingWork::PostponedFetch, PendingWork::Pipeline];
 
-/// How a client leaves.
+/// How a client ends its connection.
 #[derive(Clone, Copy, Debug)]
-enum How {
-    /// It ends its sending, as a node does that gives up an attempt.
-    EndsSending,
-    Closes,
-    Resets,
+enum CloseMethod {
+    /// Shuts down its sending side, as a node does to cancel an attempt.
+    HalfClose,
+    Close,
+    Reset,
 }
 
-const WAYS: [How; 3] = [How::EndsSending, How::Closes, How::Resets];
+const CLOSE_METHODS: [CloseMethod; 3] = [CloseMethod::HalfClose, CloseMethod::Close, CloseMethod::Reset];
 
-/// Numbers that look drawn, the same each time.
-struct Draw(u64);
+/// Linear congruential generator: pseudo-random numbers that are the same in every run.
+struct Lcg(u64);
 
-impl Draw {
-    fn below(&mut self, most: u64) -> u64 {
+impl Lcg {
+    fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % most
+        (self.0 >> 33) % limit
     }
 }
 
-fn get(class: &str, id: &str) -> String {
-    get_within(900, class, id)
+fn get_command(class: &str, id: &str) -> String {
+    get_command_with_deadline(900, class, id)
 }
 
-fn get_within(deadline_ms: u64, class: &str, id: &str) -> String {
+fn get_command_with_deadline(deadline_ms: u64, class: &str, id: &str) -> String {
     let (key, extras) = (format!("key-{id}"), format!("c={class},t=acme,d={deadline_ms}"));
-    let words = ["CACHE.GET", &key, id, &extras];
-    let words: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
-    format!("*4\r\n{words}")
+    let arguments = ["CACHE.GET", &key, id, &extras];
+    let arguments: String =
+        arguments.iter().map(|argument| format!("${}\r\n{argument}\r\n", argument.len())).collect();
+    format!("*4\r\n{arguments}")
 }
 
-/// A client with its requests.
-struct Asker {
-    waits: Waits,
-    how: How,
+/// A connected client that has sent its requests.
+struct PendingClient {
+    pending: PendingWork,
+    method: CloseMethod,
     ids: Vec<String>,
     stream: TcpStream,
 }
 
 /// A client that has left.
-struct Departed {
-    waits: Waits,
-    how: How,
+struct DepartedClient {
+    pending: PendingWork,
+    method: CloseMethod,
     ids: Vec<String>,
-    at: Instant,
-    /// Open towards the client still, where it only ended its sending.
+    left_at: Instant,
+    /// Kept open after a half-close.
     _stream: Option<TcpStream>,
 }
 
-impl Asker {
-    fn ask(node: SocketAddr, name: &str, waits: Waits, how: How) -> Self {
-        let classes: &[&str] = match waits {
-            Waits::SecondCopy => &["silent"],
-            Waits::Retry => &["failing"],
-            Waits::PostponedCall => &["missing"; 5],
-            Waits::Pipeline => &["missing", "silent", "failing", "missing", "failing", "missing"],
+impl PendingClient {
+    fn send(node: SocketAddr, name: &str, pending: PendingWork, method: CloseMethod) -> Self {
+        let classes: &[&str] = match pending {
+            PendingWork::Hedge => &["silent"],
+            PendingWork::Retry => &["failing"],
+            PendingWork::PostponedFetch => &["missing"; 5],
+            PendingWork::Pipeline => &["missing", "silent", "failing", "missing", "failing", "missing"],
         };
         let ids: Vec<String> = (0..classes.len()).map(|n| format!("{name}-{n}")).collect();
-        let mut commands: String = classes.iter().zip(&ids).map(|(class, id)| get(class, id)).collect();
-        if waits == Waits::Pipeline {
-            commands += &get("missing", "half")[..30];
+        let mut commands: String =
+            classes.iter().zip(&ids).map(|(class, id)| get_command(class, id)).collect();
+        if pending == PendingWork::Pipeline {
+            commands += &get_command("missing", "half")[..30];
         }
         let mut stream = TcpStream::connect(node).unwrap();
         stream.write_all(commands.as_bytes()).unwrap();
-        Asker { waits, how, ids, stream }
+        PendingClient { pending, method, ids, stream }
     }
 
-    fn leave(self) -> Departed {
-        let stream = match self.how {
-            How::EndsSending => {
+    fn disconnect(self) -> DepartedClient {
+        let stream = match self.method {
+            CloseMethod::HalfClose => {
                 self.stream.shutdown(Shutdown::Write).unwrap();
                 Some(self.stream)
             }
-            How::Closes => {
+            CloseMethod::Close => {
                 drop(self.stream);
                 None
             }
-            How::Resets => {
+            CloseMethod::Reset => {
                 socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).unwrap();
                 drop(self.stream);
                 None
             }
         };
-        Departed { waits: self.waits, how: self.how, ids: self.ids, at: Instant::now(), _stream: stream }
+        DepartedClient {
+            pending: self.pending,
+            method: self.method,
+            ids: self.ids,
+            left_at: Instant::now(),
+            _stream: stream,
+        }
     }
 }
 
-/// A node with two cache servers of each behaviour, an origin that answers after a while, and traffic beside.
-struct World {
+/// A node with two cache servers of each behaviour, an origin that answers after 100 ms, and background
+/// traffic.
+struct TestCluster {
     node: Node,
     attempts: Arc<Attempts>,
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     _discovery: Discovery,
 }
 
-impl Drop for World {
+impl Drop for TestCluster {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stop.store(true, Ordering::SeqCst);
     }
 }
 
-impl World {
-    /// Starts it and waits until hedges are made.
+impl TestCluster {
+    /// Starts the cluster and waits until the node makes hedges.
     fn start(name: &str) -> Self {
         let attempts = Arc::new(Attempts::default());
-        let error = Behaviour::Answers(Duration::from_millis(200), b"-ERR failed\r\n".to_vec());
-        let miss = Behaviour::Answers(Duration::from_millis(50), bytes(miss()));
-        let hit = Behaviour::Answers(Duration::ZERO, bytes(array("v")));
-        let value = Behaviour::Answers(Duration::from_millis(100), bytes(http("200 OK", "v")));
+        let error = Behaviour::AnswersAfter(Duration::from_millis(200), b"-ERR failed\r\n".to_vec());
+        let miss = Behaviour::AnswersAfter(Duration::from_millis(50), answer_bytes(miss()));
+        let hit = Behaviour::AnswersAfter(Duration::ZERO, answer_bytes(array("v")));
+        let value = Behaviour::AnswersAfter(Duration::from_millis(100), answer_bytes(http("200 OK", "v")));
         let mut members = vec![member("o-1", origin(&attempts, value), "origin", "ready")];
         for (kind, behaviour) in
             [("silent", Behaviour::Silent), ("failing", error), ("missing", miss), ("plain", hit)]
@@ -187,33 +200,35 @@
             }
         }
         let discovery = Discovery::start(&members.join(","));
-        let node = Node::run(node_with(name, &discovery, 4096), &discovery);
-        let over = Arc::new(AtomicBool::new(false));
-        let (address, ends) = (node.address, over.clone());
-        thread::spawn(move || plain_traffic(address, &ends));
-        let world = World { node, attempts, over, _discovery: discovery };
+        let node = Node::run(node_command_with_settings(name, &discovery, 4096), &discovery);
+        let stop = Arc::new(AtomicBool::new(false));
+        let (address, stop_traffic) = (node.address, stop.clone());
+        thread::spawn(move || plain_traffic(address, &stop_traffic));
+        let cluster = TestCluster { node, attempts, stop, _discovery: discovery };
         let hedged = (0..60).any(|n| {
             let id = format!("warm-{n}");
-            let _client = Asker::ask(world.node.address, &id, Waits::SecondCopy, How::Closes);
-            world.attempts.reach(&format!("{id}-0"), 2, LATE * 5)
+            let _client =
+                PendingClient::send(cluster.node.address, &id, PendingWork::Hedge, CloseMethod::Close);
+            cluster.attempts.wait_for(&format!("{id}-0"), 2, MAX_SEND_DELAY * 5)
         });
-        assert!(hedged, "no second copy is ever made here");
-        world
+        assert!(hedged, "the node makes no hedges");
+        cluster
     }
 
-    fn asker(&self, round: usize, n: usize) -> Asker {
-        let (waits, how) = (ALL[n % ALL.len()], WAYS[n % WAYS.len()]);
-        Asker::ask(self.node.address, &format!("r{round}c{n}"), waits, how)
+    fn client(&self, round: usize, n: usize) -> PendingClient {
+        let (pending, method) =
+            (ALL_PENDING_WORK[n % ALL_PENDING_WORK.len()], CLOSE_METHODS[n % CLOSE_METHODS.len()]);
+        PendingClient::send(self.node.address, &format!("r{round}c{n}"), pending, method)
     }
 
-    /// How many of these requests have had a further attempt.
-    fn went_further<'a>(&self, ids: impl Iterator<Item = &'a String>) -> usize {
-        ids.filter(|id| self.attempts.of(id).len() > 1).count()
+    /// Returns how many of these requests have had more than one attempt.
+    fn count_with_further_attempt<'a>(&self, ids: impl Iterator<Item = &'a String>) -> usize {
+        ids.filter(|id| self.attempts.times(id).len() > 1).count()
     }
 }
 
-/// A command that starts a node with the settings of this file.
-fn node_with(name: &str, discovery: &Discovery, sockets: usize) -> std::process::Command {
+/// Returns a command that starts a node with [`SETTINGS`].
+fn node_command_with_settings(name: &str, discovery: &Discovery, sockets: usize) -> std::process::Command {
     let command = node_command(name, discovery.address, sockets, "");
     let config =
         config(name, discovery.address, sockets).replace(mothpier_world::loopback::SETTINGS, SETTINGS);
@@ -221,15 +236,15 @@
     command
 }
 
-/// Reads that are served at once: beside them the further attempts are too few to count as overload.
-fn plain_traffic(node: SocketAddr, over: &AtomicBool) {
+/// Sends reads that are served at once, so that the further attempts stay too few to count as overload.
+fn plain_traffic(node: SocketAddr, stop: &AtomicBool) {
     const BATCH: usize = 50;
     let mut stream = TcpStream::connect(node).unwrap();
     let answer = b"$1\r\nv\r\n";
     let mut batch = 0;
-    while !over.load(Ordering::SeqCst) {
+    while !stop.load(Ordering::SeqCst) {
         batch += 1;
-        let commands: String = (0..BATCH).map(|n| get("plain", &format!("p{batch}-{n}"))).collect();
+        let commands: String = (0..BATCH).map(|n| get_command("plain", &format!("p{batch}-{n}"))).collect();
         let mut answers = vec![0; BATCH * answer.len()];
         if stream.write_all(commands.as_bytes()).is_err() || stream.read_exact(&mut answers).is_err() {
             return;
@@ -238,144 +253,164 @@
     }
 }
 
-/// Fails with the attempts that came in too late, and tells the figures. What the machine kept this process from running
-/// in that time is taken off: on a machine that is not busy that is nothing.
-fn judge(state: &str, attempts: &Attempts, stalls: &Stalls, departed: &[Departed]) {
-    let (mut late, mut latest, mut most_stalled) = (Vec::new(), Duration::ZERO, Duration::ZERO);
+/// Prints a summary and fails if attempts arrived too late. The time for which a busy machine kept this
+/// process from running is subtracted; on an idle machine that is zero.
+fn check_attempts(situation: &str, attempts: &Attempts, stalls: &Stalls, departed: &[DepartedClient]) {
+    let (mut late_attempts, mut latest, mut most_stalled) = (Vec::new(), Duration::ZERO, Duration::ZERO);
     for client in departed {
-        for (id, came) in client.ids.iter().flat_map(|id| attempts.of(id).into_iter().map(move |at| (id, at)))
+        for (id, arrived_at) in client
+            .ids
+            .iter()
+            .flat_map(|id| attempts.times(id).into_iter().map(move |arrived_at| (id, arrived_at)))
         {
-            let after = came.saturating_duration_since(client.at);
-            latest = latest.max(after);
-            if after <= LATE {
+            let delay = arrived_at.saturating_duration_since(client.left_at);
+            latest = latest.max(delay);
+            if delay <= MAX_SEND_DELAY {
                 continue;
             }
-            let stalled = stalls.within(client.at, came);
+            let stalled = stalls.within(client.left_at, arrived_at);
             most_stalled = most_stalled.max(stalled);
-            if after > LATE + stalled {
-                let (waits, how) = (client.waits, client.how);
-                late.push(format!("{id} ({waits:?}, {how:?}) after {after:?}, stalled {stalled:?}"));
+            if delay > MAX_SEND_DELAY + stalled {
+                let (pending, method) = (client.pending, client.method);
+                late_attempts
+                    .push(format!("{id} ({pending:?}, {method:?}) after {delay:?}, stalled {stalled:?}"));
             }
         }
     }
-    let (all, breaks) = (departed.len(), late.len());
+    let (clients, violations) = (departed.len(), late_attempts.len());
     println!(
-        "{state}: {all} departures, {breaks} late attempts; the last after {latest:?}, taken off {most_stalled:?}"
+        "{situation}: {clients} departures, {violations} late attempts; latest after {latest:?}, subtracted stalls up to {most_stalled:?}"
+    );
+    assert!(
+        late_attempts.is_empty(),
+        "{situation}: {violations} late attempts of {clients} clients: {late_attempts:#?}"
     );
-    assert!(late.is_empty(), "{state}: {breaks} late attempts of {all} clients: {late:#?}");
 }
 
-/// Clients leave at drawn instants around those at which their further attempts fall due.
+/// Clients leave at random times around the moment at which a hedge, a retry or a postponed fetch falls due.
+/// Guards against a further attempt whose timer fires although the client has left.
 #[test]
 fn no_further_attempt_begins_for_a_client_that_left() {
-    let stalls = Stalls::watch();
-    let (world, mut draw) = (World::start("cancelled-further"), Draw(42));
-    let (wanted, mut departed) = (departures() * 6 / 10, Vec::new());
-    let (mut stayed, mut round) = (Vec::new(), 0);
-    while departed.len() < wanted {
+    let stalls = Stalls::start();
+    let (cluster, mut random) = (TestCluster::start("cancelled-further"), Lcg(42));
+    let (departures_wanted, mut departed) = (departures() * 6 / 10, Vec::new());
+    let (mut staying, mut round) = (Vec::new(), 0);
+    while departed.len() < departures_wanted {
         round += 1;
-        let began = Instant::now();
-        let until = |at: Duration| thread::sleep(at.saturating_sub(began.elapsed()));
-        let mut leaving: Vec<(Duration, Asker)> = Vec::new();
-        let mut leave_until = |leaving: &mut Vec<(Duration, Asker)>, end: Duration| {
-            leaving.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
-            while let Some((at, asker)) = leaving.pop_if(|(at, _)| *at <= end) {
-                until(at);
-                departed.push(asker.leave());
+        let started = Instant::now();
+        let sleep_until = |elapsed: Duration| thread::sleep(elapsed.saturating_sub(started.elapsed()));
+        let mut leaving: Vec<(Duration, PendingClient)> = Vec::new();
+        let mut disconnect_until = |leaving: &mut Vec<(Duration, PendingClient)>, end: Duration| {
+            leaving.sort_by_key(|(delay, _)| std::cmp::Reverse(*delay));
+            while let Some((delay, client)) = leaving.pop_if(|(delay, _)| *delay <= end) {
+                sleep_until(delay);
+                departed.push(client.disconnect());
             }
         };
-        for n in 0..ROUND {
-            let at = PACE * n as u32;
-            leave_until(&mut leaving, at);
-            until(at);
-            let asker = world.asker(round, n);
-            if n % STAYS == 0 {
-                stayed.push(asker);
+        for n in 0..CLIENTS_PER_ROUND {
+            let sent_at = CLIENT_INTERVAL * n as u32;
+            disconnect_until(&mut leaving, sent_at);
+            sleep_until(sent_at);
+            let client = cluster.client(round, n);
+            if n % ONE_STAYS_IN == 0 {
+                staying.push(client);
             } else {
-                leaving.push((at + Duration::from_millis(draw.below(WINDOW_MS)), asker));
+                leaving.push((sent_at + Duration::from_millis(random.below(DEPARTURE_WINDOW_MS)), client));
             }
         }
-        leave_until(&mut leaving, Duration::MAX);
-        thread::sleep(SETTLE);
+        disconnect_until(&mut leaving, Duration::MAX);
+        thread::sleep(SETTLE_TIME);
     }
-    for waits in ALL {
-        let ids = stayed.iter().filter(|asker| asker.waits == waits).flat_map(|asker| &asker.ids);
-        let (all, further) = (ids.clone().count(), world.went_further(ids));
-        println!("{waits:?}: {further} of {all} requests of clients who stayed had a further attempt");
-        assert!(further > 0, "{waits:?}: nothing was at stake");
+    for pending in ALL_PENDING_WORK {
+        let ids = staying.iter().filter(|client| client.pending == pending).flat_map(|client| &client.ids);
+        let (requests, with_further_attempt) = (ids.clone().count(), cluster.count_with_further_attempt(ids));
+        println!(
+            "{pending:?}: {with_further_attempt} of {requests} requests of staying clients had a further attempt"
+        );
+        assert!(with_further_attempt > 0, "{pending:?}: no further attempt was made for staying clients");
     }
-    judge("before a further attempt", &world.attempts, &stalls, &departed);
+    check_attempts("before a further attempt", &cluster.attempts, &stalls, &departed);
 }
 
-/// The node is held up while its clients leave, and what their requests wait for falls due meanwhile: as it goes on all
-/// comes at once. What they asked in the meantime has not even been read.
+/// The node process is stopped (`SIGSTOP`) while its clients leave and their further attempts fall due, so
+/// that it sees both at once when it continues. Guards against handling the due attempts, or requests not
+/// read before, ahead of the departures.
 #[test]
-fn nothing_begins_for_clients_that_left_while_the_node_was_held_up() {
-    let stalls = Stalls::watch();
-    let (world, mut draw) = (World::start("cancelled-held"), Draw(43));
-    let (wanted, mut departed) = (departures() * 3 / 10, Vec::new());
+fn no_attempt_begins_for_a_client_that_left_while_the_node_was_stopped() {
+    let stalls = Stalls::start();
+    let (cluster, mut random) = (TestCluster::start("cancelled-held"), Lcg(43));
+    let (departures_wanted, mut departed) = (departures() * 3 / 10, Vec::new());
     let mut round = 0;
-    while departed.len() < wanted {
+    while departed.len() < departures_wanted {
         round += 1;
-        let mut askers: Vec<Asker> = (0..ROUND).map(|n| world.asker(round, n)).collect();
-        thread::sleep(Duration::from_millis(draw.below(200)));
-        world.node.signal("STOP");
-        for (n, asker) in askers.iter_mut().enumerate() {
+        let mut clients: Vec<PendingClient> =
+            (0..CLIENTS_PER_ROUND).map(|n| cluster.client(round, n)).collect();
+        thread::sleep(Duration::from_millis(random.below(200)));
+        cluster.node.signal("STOP");
+        for (n, client) in clients.iter_mut().enumerate() {
             let id = format!("r{round}u{n}");
-            // Behind half a command nothing more can be asked.
-            if asker.waits != Waits::Pipeline {
-                asker.stream.write_all(get("missing", &id).as_bytes()).unwrap();
-                asker.ids.push(id);
+            // No further command can follow an incomplete one.
+            if client.pending != PendingWork::Pipeline {
+                client.stream.write_all(get_command("missing", &id).as_bytes()).unwrap();
+                client.ids.push(id);
             }
         }
-        departed.extend(askers.into_iter().map(Asker::leave));
-        thread::sleep(LATE * 3);
-        world.node.signal("CONT");
-        thread::sleep(SETTLE);
+        departed.extend(clients.into_iter().map(PendingClient::disconnect));
+        thread::sleep(MAX_SEND_DELAY * 3);
+        cluster.node.signal("CONT");
+        thread::sleep(SETTLE_TIME);
     }
-    judge("while the node was held up", &world.attempts, &stalls, &departed);
+    check_attempts("while the node was stopped", &cluster.attempts, &stalls, &departed);
 }
 
-/// Clients whom the machine has let in, but the node has no room for: they ask, and have left when it lets them in.
+/// Clients wait in the kernel's accept queue while the node has no free sockets. They send requests and have
+/// left when the node accepts them: none of those requests may be forwarded.
 #[test]
-fn nothing_begins_for_clients_that_left_before_they_were_let_in() {
-    let stalls = Stalls::watch();
-    let (wanted, gate) = ((departures() / 5).min(MOST_LET_IN), Arc::new(Gate::default()));
+fn no_attempt_begins_for_a_client_that_left_before_it_was_accepted() {
+    let stalls = Stalls::start();
+    let (departures_wanted, gate) = ((departures() / 5).min(MAX_QUEUED_CLIENTS), Arc::new(Gate::default()));
     let attempts = Arc::new(Attempts::default());
-    let closed = Behaviour::Gated(gate.clone(), bytes(http("200 OK", "v")));
-    let miss = Behaviour::Answers(Duration::ZERO, bytes(miss()));
+    let gated_value = Behaviour::Gated(gate.clone(), answer_bytes(http("200 OK", "v")));
+    let miss = Behaviour::AnswersAfter(Duration::ZERO, answer_bytes(miss()));
     let members = [
-        member("o-1", origin(&attempts, closed), "origin", "ready"),
+        member("o-1", origin(&attempts, gated_value), "origin", "ready"),
         member("missing-0", cache_server(&attempts, miss), "missing", "ready"),
     ];
     let discovery = Discovery::start(&members.join(","));
-    let node = Node::run(node_with("cancelled-queue", &discovery, 64), &discovery);
-    // Connections that are owed an answer give way to nobody.
+    let node = Node::run(node_command_with_settings("cancelled-queue", &discovery, 64), &discovery);
+    // The node does not close connections that wait for an answer in favour of new ones.
     let mut fillers: Vec<TcpStream> = Vec::new();
     for n in 0..64 {
         let mut stream = TcpStream::connect(node.address).unwrap();
         let id = format!("filler-{n}");
-        stream.write_all(get_within(3000, "missing", &id).as_bytes()).unwrap();
+        stream.write_all(get_command_with_deadline(3000, "missing", &id).as_bytes()).unwrap();
         fillers.push(stream);
-        if !attempts.reach(&id, 1, LATE * 10) {
+        if !attempts.wait_for(&id, 1, MAX_SEND_DELAY * 10) {
             break;
         }
     }
     assert!((10..64).contains(&fillers.len()), "{} clients fill the node", fillers.len());
-    let ask = |n: usize| Asker::ask(node.address, &format!("q{n}"), ALL[2], WAYS[n % WAYS.len()]);
-    let askers: Vec<Asker> = (0..wanted).map(ask).collect();
-    let departed: Vec<Departed> = askers.into_iter().map(Asker::leave).collect();
-    thread::sleep(LATE * 2);
+    let send = |n: usize| {
+        PendingClient::send(
+            node.address,
+            &format!("q{n}"),
+            ALL_PENDING_WORK[2],
+            CLOSE_METHODS[n % CLOSE_METHODS.len()],
+        )
+    };
+    let clients: Vec<PendingClient> = (0..departures_wanted).map(send).collect();
+    let departed: Vec<DepartedClient> = clients.into_iter().map(PendingClient::disconnect).collect();
+    thread::sleep(MAX_SEND_DELAY * 2);
     let early: Vec<&String> =
-        departed.iter().flat_map(|client| &client.ids).filter(|id| !attempts.of(id).is_empty()).collect();
-    assert!(early.is_empty(), "let in beside {} others: {early:?}", fillers.len());
-    // There is room now, and who came behind them is let in and served.
+        departed.iter().flat_map(|client| &client.ids).filter(|id| !attempts.times(id).is_empty()).collect();
+    assert!(early.is_empty(), "accepted beside {} other clients: {early:?}", fillers.len());
+    // Sockets are free now: a later client is accepted and served.
     gate.open();
     drop(fillers);
     let mut last = node.client();
-    last.write(get("missing", "last"));
+    last.write(get_command("missing", "last"));
     let answer = last.answer();
-    thread::sleep(SETTLE);
-    judge("before they were let in", &attempts, &stalls, &departed);
+    thread::sleep(SETTLE_TIME);
+    check_attempts("before they were accepted", &attempts, &stalls, &departed);
     assert_eq!(answer, "$v");
 }
--- a/crates/mothpier/tests/cancellations/stalls.rs
+++ b/crates/mothpier/tests/cancellations/stalls.rs
@@ -1,60 +1,60 @@
-//! How long a busy machine keeps the threads of this process from running: what comes late by that is not the node's
-//! doing, and a far end that runs late writes down a late time.
+//! Measures for how long a busy machine keeps threads of this process from running. A delay of that length is
+//! not the node's fault: an upstream server in this process that runs late records a late arrival.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Threads that look; the one that was kept longest counts.
-const THREADS: usize = 4;
-const PERIOD: Duration = Duration::from_millis(5);
-/// A pause longer than its period by less than this is ordinary.
-const ORDINARY: Duration = Duration::from_millis(5);
+/// Number of measuring threads; the longest stall among them counts.
+const WATCHER_THREADS: usize = 4;
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// A sleep that exceeds its interval by less than this is not a stall.
+const TOLERANCE: Duration = Duration::from_millis(5);
 
 type Gaps = Arc<Mutex<Vec<(Instant, Instant)>>>;
 
-/// Measures until it is dropped.
+/// Measures stalls until it is dropped.
 pub struct Stalls {
     gaps: Vec<Gaps>,
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 }
 
 impl Drop for Stalls {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stop.store(true, Ordering::SeqCst);
     }
 }
 
 impl Stalls {
-    /// Begins to measure.
-    pub fn watch() -> Self {
-        let over = Arc::new(AtomicBool::new(false));
-        let gaps: Vec<Gaps> = (0..THREADS).map(|_| Gaps::default()).collect();
+    /// Starts measuring.
+    pub fn start() -> Self {
+        let stop = Arc::new(AtomicBool::new(false));
+        let gaps: Vec<Gaps> = (0..WATCHER_THREADS).map(|_| Gaps::default()).collect();
         for gaps in gaps.clone() {
-            let over = over.clone();
+            let stop = stop.clone();
             thread::spawn(move || {
-                while !over.load(Ordering::SeqCst) {
-                    let due = Instant::now() + PERIOD;
-                    thread::sleep(PERIOD);
+                while !stop.load(Ordering::SeqCst) {
+                    let due = Instant::now() + CHECK_INTERVAL;
+                    thread::sleep(CHECK_INTERVAL);
                     let now = Instant::now();
-                    if now > due + ORDINARY {
+                    if now > due + TOLERANCE {
                         gaps.lock().unwrap().push((due, now));
                     }
                 }
             });
         }
-        Stalls { gaps, over }
+        Stalls { gaps, stop }
     }
 
-    /// How long one thread was kept from running within a span, the worst of them.
+    /// Returns the longest time for which one of the threads was kept from running between two instants.
     pub fn within(&self, from: Instant, to: Instant) -> Duration {
-        let of_one = |gaps: &Gaps| -> Duration {
+        let time_in_gaps = |gaps: &Gaps| -> Duration {
             let gaps = gaps.lock().unwrap();
             gaps.iter()
                 .map(|(since, until)| (*until).min(to).saturating_duration_since((*since).max(from)))
                 .sum()
         };
-        self.gaps.iter().map(of_one).max().unwrap_or_default()
+        self.gaps.iter().map(time_in_gaps).max().unwrap_or_default()
     }
 }
--- a/crates/mothpier/tests/large_fleet/main.rs
+++ b/crates/mothpier/tests/large_fleet/main.rs
@@ -1,9 +1,10 @@
-//! One real node before thousands of cache servers, with the share of a core that it has: no request without its answer, no
-//! drain late, and no more of anything than the fleet's size may cost.
+//! One real node in front of thousands of simulated cache servers, limited to its share of a core: every
+//! request gets an answer, drains are kept in time, and resource usage grows no more than allowed with the
+//! size of the fleet.
 #![allow(missing_docs)]
 
 mod core_share;
-mod stand_ins;
+mod simulated_fleet;
 mod traffic;
 
 use std::collections::HashMap;
@@ -14,36 +15,36 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-use core_share::{CoreShare, processor_time};
-use stand_ins::{LargeFleet, OtherNodes, TENANTS};
-use traffic::{End, Traffic};
+use core_share::{CoreShare, cpu_time};
+use simulated_fleet::{LargeFleet, PeerNodes, TENANTS};
+use traffic::{Outcome, Traffic};
 
-/// Nodes that share the cache servers.
+/// Number of nodes that share the cache servers.
 const NODES: usize = 300;
-/// Cache servers of a fleet of the usual size, and of the largest.
-const USUAL: usize = 200;
-const LARGEST: usize = 3_200;
-/// Requests a second at a node: the mean, and several times that at a busy one.
-const MEAN_PER_S: f64 = 23.0;
-const BUSY_PER_S: f64 = 6.0 * MEAN_PER_S;
-/// Of a core that ten nodes share.
+/// Number of cache servers in a typical fleet and in the largest one.
+const TYPICAL_SERVERS: usize = 200;
+const MAX_SERVERS: usize = 3_200;
+/// Mean request rate of a node, and that of a busy node.
+const MEAN_REQUESTS_PER_S: f64 = 23.0;
+const BUSY_REQUESTS_PER_S: f64 = 6.0 * MEAN_REQUESTS_PER_S;
+/// Share of a core for one of the ten nodes that run on it.
 const CORE_SHARE: f64 = 0.1;
-/// A drain is kept after the settings' grace, and the 50 ms that sockets have.
+/// A drain must be kept after the grace period of the settings plus 50 ms for the sockets.
 const DRAIN_GRACE: Duration = Duration::from_millis(550);
-/// An attempt that begins later than this after its client left is a break.
-const LEFT: Duration = Duration::from_millis(100);
-/// The shortest day for which a node's needs are stated.
-const DAY: Duration = Duration::from_secs(20);
-/// Of the share served at the usual size.
-const SERVED_SHARE: f64 = 0.85;
-/// File descriptors that a node may hold: the most of a day, and what some days leave.
-const DESCRIPTORS: usize = 1_024;
+/// No attempt may begin later than this after its client left.
+const MAX_SEND_DELAY: Duration = Duration::from_millis(100);
+/// Length of a run that measures resource usage, the shortest for which limits are stated.
+const RUN_TIME: Duration = Duration::from_secs(20);
+/// Smallest allowed ratio of the share served in the largest fleet to that in a typical one.
+const MIN_SERVED_RATIO: f64 = 0.85;
+/// Limit of file descriptors of a node, and the lower one for the test with fewer descriptors than servers.
+const MAX_DESCRIPTORS: usize = 1_024;
 const FEW_DESCRIPTORS: usize = 512;
 const SEED: u64 = 50;
 
 fn settings() -> String {
     let realms: Vec<String> =
-        (0..TENANTS).map(|n| format!(r#"{{"name":"tenant-{n}","quotaPerS":2000}}"#)).collect();
+        (0..TENANTS).map(|number| format!(r#"{{"name":"tenant-{number}","quotaPerS":2000}}"#)).collect();
     format!(
         r#"{{"balancers":{NODES},"me":0,"classes":[
 {{"name":"read","deadlineUs":1000000,"goalTimeUs":470000,"gain":2.0,"effect":"pure"}},
@@ -58,21 +59,22 @@
     )
 }
 
-/// What a node needs for a day.
+/// Resources that a node used in a run.
 #[derive(Clone, Copy, Debug)]
-struct Needs {
-    processor_s: f64,
+struct ResourceUsage {
+    cpu_s: f64,
     memory_mb: f64,
     descriptors: f64,
     connections: f64,
 }
 
-impl Needs {
-    /// The most that a node may need before so many cache servers, where it needs this before the usual number.
-    fn allowed(self, servers: usize) -> Needs {
+impl ResourceUsage {
+    /// Returns the most that a node may use with `servers` cache servers if it uses `self` with the typical
+    /// number.
+    fn allowed(self, servers: usize) -> ResourceUsage {
         let thousands = servers as f64 / 1_000.0;
-        Needs {
-            processor_s: 1.4 * self.processor_s + 0.02 + 0.03 * thousands,
+        ResourceUsage {
+            cpu_s: 1.4 * self.cpu_s + 0.02 + 0.03 * thousands,
             memory_mb: 1.5 * self.memory_mb + 8.0 + 4.0 * thousands,
             descriptors: 2.0 * self.descriptors + 40.0,
             connections: 2.5 * self.connections + 40.0,
@@ -80,24 +82,27 @@
     }
 }
 
-/// A node of a tier before a fleet.
-struct World {
+/// A node of a tier in front of a simulated fleet.
+struct TestCluster {
     fleet: LargeFleet,
     node: Node,
 }
 
-impl World {
+impl TestCluster {
     async fn start(name: &str, servers: usize, descriptors: usize) -> Self {
-        let fleet = LargeFleet::open(servers).await;
-        let others = OtherNodes::open().await;
-        let free = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-        let listen = free.local_addr().unwrap();
-        drop(free);
-        let peers: Vec<String> =
-            others.addresses(listen, NODES).iter().map(|at| format!("\"{at}\"")).collect();
+        let fleet = LargeFleet::start(servers).await;
+        let peer_nodes = PeerNodes::start().await;
+        let reserved_socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+        let peer_address = reserved_socket.local_addr().unwrap();
+        drop(reserved_socket);
+        let peers: Vec<String> = peer_nodes
+            .addresses(peer_address, NODES)
+            .iter()
+            .map(|address| format!("\"{address}\""))
+            .collect();
         let config = format!(
             r#"{{"name":"{name}","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964",
-"limits":{{"cores":{CORE_SHARE},"memory_mb":64,"sockets":{descriptors}}},"peer_listen":"{listen}","peers":[{}],
+"limits":{{"cores":{CORE_SHARE},"memory_mb":64,"sockets":{descriptors}}},"peer_listen":"{peer_address}","peers":[{}],
 "settings":{}}}"#,
             fleet.discovery,
             peers.join(","),
@@ -106,48 +111,52 @@
         let command = loopback::node_command(name, fleet.discovery, descriptors, "");
         std::fs::write(loopback::config_path(name), config).unwrap();
         let node = tokio::task::spawn_blocking(move || Node::spawn(command)).await.unwrap();
-        spawn_local(others.tell(listen, MEAN_PER_S as f32));
+        spawn_local(peer_nodes.send_loads(peer_address, MEAN_REQUESTS_PER_S as f32));
         while fleet.agent.asked.get().0 == 0 {
             sleep(Duration::from_millis(10)).await;
         }
-        World { fleet, node }
+        TestCluster { fleet, node }
     }
 
-    /// What the node has used and made so far.
-    fn needs(&self) -> Needs {
-        let folder = format!("/proc/{}", self.node.child.id());
-        let status = std::fs::read_to_string(format!("{folder}/status")).unwrap();
+    /// Returns what the node has used so far.
+    fn usage(&self) -> ResourceUsage {
+        let proc_directory = format!("/proc/{}", self.node.child.id());
+        let status = std::fs::read_to_string(format!("{proc_directory}/status")).unwrap();
         let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
         let peak_kb: f64 = peak.split_whitespace().next().unwrap().parse().unwrap();
-        Needs {
-            processor_s: processor_time(self.node.child.id()).as_secs_f64(),
+        ResourceUsage {
+            cpu_s: cpu_time(self.node.child.id()).as_secs_f64(),
             memory_mb: peak_kb / 1024.0,
-            descriptors: std::fs::read_dir(format!("{folder}/fd")).unwrap().count() as f64,
+            descriptors: std::fs::read_dir(format!("{proc_directory}/fd")).unwrap().count() as f64,
             connections: self.fleet.record.borrow().connections as f64,
         }
     }
 
-    /// Commands that reached a server later than its drain allows.
-    fn late_at_drained(&self) -> Vec<String> {
+    /// Returns the commands that reached a server later than its drain allows.
+    fn attempts_at_drained_servers(&self) -> Vec<String> {
         let record = self.fleet.record.borrow();
-        let told: HashMap<_, Instant> = record.told.iter().map(|(at, told)| (at.ip(), *told)).collect();
+        let drained_at: HashMap<_, Instant> =
+            record.drained_at.iter().map(|(address, drained_at)| (address.ip(), *drained_at)).collect();
         let late = record.arrivals.iter().filter_map(|arrival| {
-            let since = arrival.at.checked_duration_since(*told.get(&arrival.server.into())?)?;
+            let since = arrival.at.checked_duration_since(*drained_at.get(&arrival.server.into())?)?;
             (since > DRAIN_GRACE)
-                .then(|| format!("{} at {} {since:?} after", arrival.request, arrival.server))
+                .then(|| format!("{} at {} {since:?} after", arrival.request_id, arrival.server))
         });
         late.collect()
     }
 
-    /// Commands that began too long after their request had ended without an answer.
-    fn sent_after_leaving(&self, traffic: &Traffic) -> Vec<String> {
-        let ended = traffic.ended.borrow();
-        let left: HashMap<&str, Instant> =
-            ended.iter().filter(|e| e.end == End::Lost).map(|e| (e.request.as_str(), e.at)).collect();
+    /// Returns the commands that arrived too long after their request had ended without an answer.
+    fn attempts_after_departure(&self, traffic: &Traffic) -> Vec<String> {
+        let finished = traffic.finished.borrow();
+        let lost_at: HashMap<&str, Instant> = finished
+            .iter()
+            .filter(|request| request.outcome == Outcome::Lost)
+            .map(|request| (request.request_id.as_str(), request.at))
+            .collect();
         let record = self.fleet.record.borrow();
         let late = record.arrivals.iter().filter_map(|arrival| {
-            let since = arrival.at.checked_duration_since(*left.get(arrival.request.as_str())?)?;
-            (since > LEFT).then(|| format!("{} {since:?} after", arrival.request))
+            let since = arrival.at.checked_duration_since(*lost_at.get(arrival.request_id.as_str())?)?;
+            (since > MAX_SEND_DELAY).then(|| format!("{} {since:?} after", arrival.request_id))
         });
         late.collect()
     }
@@ -158,68 +167,88 @@
     runtime.block_on(LocalSet::new().run_until(test));
 }
 
+/// A node with six times the mean traffic in front of the largest fleet, while servers drain, go away and the
+/// server list is renumbered. Guards against work per server that takes so much CPU time that answers or
+/// drains come late.
 #[test]
 fn busy_node_before_thousands_of_servers_answers_in_time_and_keeps_drains() {
     run(async {
-        let world = World::start("large-fleet-busy", LARGEST, DESCRIPTORS).await;
-        let node: SocketAddr = world.node.address;
-        let traffic = spawn_local(Traffic::ask(node, BUSY_PER_S, Duration::from_secs(9), SEED));
-        let _share = CoreShare::hold(world.node.child.id(), CORE_SHARE);
+        let cluster = TestCluster::start("large-fleet-busy", MAX_SERVERS, MAX_DESCRIPTORS).await;
+        let node: SocketAddr = cluster.node.address;
+        let traffic = spawn_local(Traffic::run(node, BUSY_REQUESTS_PER_S, Duration::from_secs(9), SEED));
+        let _share = CoreShare::start(cluster.node.child.id(), CORE_SHARE);
         sleep(Duration::from_secs(4)).await;
-        world.fleet.change_each(8, "draining");
+        cluster.fleet.change_each(8, "draining");
         sleep(Duration::from_secs(2)).await;
-        world.fleet.change_each(8, "gone");
+        cluster.fleet.change_each(8, "gone");
         sleep(Duration::from_secs(1)).await;
-        world.fleet.agent.renumber();
+        cluster.fleet.agent.renumber();
         let traffic = traffic.await.unwrap();
-        let ends = [End::Served, End::Refused, End::Failed, End::Lost].map(|end| (end, traffic.count(end)));
-        let (late, left) = (world.late_at_drained(), world.sent_after_leaving(&traffic));
-        println!("{ends:?}, {:?} of processor time", processor_time(world.node.child.id()));
-        assert_eq!(traffic.count(End::Lost), 0, "{ends:?}");
-        assert!(late.is_empty(), "sent to drained servers: {late:?}");
-        assert!(left.is_empty(), "sent after its client left: {left:?}");
-        assert!(traffic.count(End::Served) * 2 > traffic.ended.borrow().len(), "{ends:?}");
+        let outcomes = [Outcome::Served, Outcome::Refused, Outcome::Failed, Outcome::Lost]
+            .map(|outcome| (outcome, traffic.count(outcome)));
+        let (attempts_at_drained_servers, attempts_after_departure) =
+            (cluster.attempts_at_drained_servers(), cluster.attempts_after_departure(&traffic));
+        println!("{outcomes:?}, {:?} of CPU time", cpu_time(cluster.node.child.id()));
+        assert_eq!(traffic.count(Outcome::Lost), 0, "{outcomes:?}");
+        assert!(
+            attempts_at_drained_servers.is_empty(),
+            "sent to drained servers: {attempts_at_drained_servers:?}"
+        );
+        assert!(
+            attempts_after_departure.is_empty(),
+            "sent after its client left: {attempts_after_departure:?}"
+        );
+        assert!(traffic.count(Outcome::Served) * 2 > traffic.finished.borrow().len(), "{outcomes:?}");
     });
 }
 
-/// Plays a day with the mean traffic and a change of one server of eight; gives what the node needed and the share served.
-async fn calm_day(name: &str, servers: usize, descriptors: usize) -> (Needs, f64) {
-    let world = World::start(name, servers, descriptors).await;
-    let traffic = spawn_local(Traffic::ask(world.node.address, MEAN_PER_S, DAY, SEED));
-    sleep(DAY / 2).await;
-    world.fleet.change_each(8, "draining");
-    sleep(DAY / 4).await;
-    world.fleet.change_each(8, "gone");
+/// Runs the mean traffic while one server in eight drains and goes away. Returns the resources that the node
+/// used and the share of requests served.
+async fn run_at_mean_rate(name: &str, servers: usize, descriptors: usize) -> (ResourceUsage, f64) {
+    let cluster = TestCluster::start(name, servers, descriptors).await;
+    let traffic = spawn_local(Traffic::run(cluster.node.address, MEAN_REQUESTS_PER_S, RUN_TIME, SEED));
+    sleep(RUN_TIME / 2).await;
+    cluster.fleet.change_each(8, "draining");
+    sleep(RUN_TIME / 4).await;
+    cluster.fleet.change_each(8, "gone");
     let traffic = traffic.await.unwrap();
-    let served = traffic.count(End::Served) as f64 / traffic.ended.borrow().len() as f64;
-    (world.needs(), served)
+    let served_share = traffic.count(Outcome::Served) as f64 / traffic.finished.borrow().len() as f64;
+    (cluster.usage(), served_share)
 }
 
+/// Compares the same run with a typical and the largest fleet. Guards against CPU time, memory, descriptors
+/// or connections that grow in proportion to the number of servers.
 #[test]
-fn needs_of_a_node_grow_no_more_with_the_fleet_than_allowed() {
+fn resource_usage_grows_no_more_with_the_fleet_than_allowed() {
     run(async {
-        let usual = spawn_local(calm_day("large-fleet-usual", USUAL, DESCRIPTORS));
-        let largest = spawn_local(calm_day("large-fleet-largest", LARGEST, DESCRIPTORS));
-        let ((usual, usual_served), (largest, served)) = (usual.await.unwrap(), largest.await.unwrap());
-        let allowed = usual.allowed(LARGEST);
+        let typical = spawn_local(run_at_mean_rate("large-fleet-usual", TYPICAL_SERVERS, MAX_DESCRIPTORS));
+        let largest = spawn_local(run_at_mean_rate("large-fleet-largest", MAX_SERVERS, MAX_DESCRIPTORS));
+        let ((typical, typical_served), (largest, largest_served)) =
+            (typical.await.unwrap(), largest.await.unwrap());
+        let allowed = typical.allowed(MAX_SERVERS);
         println!(
-            "usual {usual:?}, largest {largest:?}, allowed {allowed:?}, served {usual_served}, {served}"
+            "typical {typical:?}, largest {largest:?}, allowed {allowed:?}, served {typical_served}, {largest_served}"
         );
-        assert!(largest.processor_s <= allowed.processor_s, "{largest:?} of {allowed:?}");
+        assert!(largest.cpu_s <= allowed.cpu_s, "{largest:?} of {allowed:?}");
         assert!(largest.memory_mb <= allowed.memory_mb, "{largest:?} of {allowed:?}");
         assert!(largest.descriptors <= allowed.descriptors, "{largest:?} of {allowed:?}");
         assert!(largest.connections <= allowed.connections, "{largest:?} of {allowed:?}");
-        assert!(served >= SERVED_SHARE * usual_served, "{served} of {usual_served}");
+        assert!(largest_served >= MIN_SERVED_RATIO * typical_served, "{largest_served} of {typical_served}");
     });
 }
 
+/// With fewer descriptors than servers the node cannot keep a connection to each. Guards against connections
+/// that are closed and reopened for every request, or requests refused for lack of one.
 #[test]
 fn node_with_more_servers_than_descriptors_goes_on_serving() {
     run(async {
-        let usual = spawn_local(calm_day("large-fleet-descriptors-usual", USUAL, FEW_DESCRIPTORS));
-        let largest = spawn_local(calm_day("large-fleet-descriptors-largest", LARGEST, FEW_DESCRIPTORS));
-        let ((usual, usual_served), (largest, served)) = (usual.await.unwrap(), largest.await.unwrap());
-        println!("usual {usual:?}, largest {largest:?}, served {usual_served}, {served}");
-        assert!(served >= SERVED_SHARE * usual_served, "{served} of {usual_served}");
+        let typical =
+            spawn_local(run_at_mean_rate("large-fleet-descriptors-usual", TYPICAL_SERVERS, FEW_DESCRIPTORS));
+        let largest =
+            spawn_local(run_at_mean_rate("large-fleet-descriptors-largest", MAX_SERVERS, FEW_DESCRIPTORS));
+        let ((typical, typical_served), (largest, largest_served)) =
+            (typical.await.unwrap(), largest.await.unwrap());
+        println!("typical {typical:?}, largest {largest:?}, served {typical_served}, {largest_served}");
+        assert!(largest_served >= MIN_SERVED_RATIO * typical_served, "{largest_served} of {typical_served}");
     });
 }
--- a/crates/mothpier/tests/large_fleet/traffic.rs
+++ b/crates/mothpier/tests/large_fleet/traffic.rs
@@ -1,4 +1,4 @@
-//! Clients that ask a node at a rate, and how their requests ended.
+//! Clients that send requests to a node at a given rate, and the outcomes of those requests.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,60 +12,62 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use crate::stand_ins::TENANTS;
+use crate::simulated_fleet::TENANTS;
 
-/// Up to so long after its time an answer only earns nothing; later it is lost.
-const LATE: Duration = Duration::from_millis(500);
-/// How long clients wait, in milliseconds.
-const DEADLINE_MS: (u64, u64) = (600, 1_000);
-/// Keys that are asked for.
+/// An answer that is late by up to this much merely has no value; a later one counts as lost.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// Range of the clients' deadlines.
+const MIN_DEADLINE_MS: u64 = 600;
+const MAX_DEADLINE_MS: u64 = 1_000;
+/// Number of keys that are requested.
 const KEYS: u64 = 100_000;
-/// One request of so many is a write.
-const WRITES: u64 = 25;
+/// One request in this many is a write.
+const REQUESTS_PER_WRITE: u64 = 25;
 
-/// How a request ended for its client.
+/// Outcome of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     Served,
     Refused,
     Failed,
-    /// No whole answer within its time and the half second after it.
+    /// No complete answer within the deadline and [`ANSWER_GRACE`].
     Lost,
 }
 
-/// A request that has ended.
+/// A finished request.
 #[derive(Debug)]
-pub struct Ended {
-    pub request: String,
-    pub end: End,
+pub struct FinishedRequest {
+    pub request_id: String,
+    pub outcome: Outcome,
     pub at: Instant,
 }
 
-/// A connection, and what has been read of it.
+/// A connection and the unparsed bytes read from it.
 type Connection = (TcpStream, BytesMut);
 
-/// Clients of one node.
+/// The clients of one node.
 pub struct Traffic {
     node: SocketAddr,
     idle: RefCell<Vec<Connection>>,
-    pub ended: RefCell<Vec<Ended>>,
+    pub finished: RefCell<Vec<FinishedRequest>>,
 }
 
 impl Traffic {
-    /// Asks at a mean rate, at random moments, until a time is over; returns when all have ended.
-    pub async fn ask(node: SocketAddr, per_s: f64, lasts: Duration, seed: u64) -> Rc<Self> {
-        let traffic = Rc::new(Traffic { node, idle: RefCell::default(), ended: RefCell::default() });
-        let (dice, began) = (Dice::new(seed), Instant::now());
+    /// Sends requests at random times with a mean rate for the given duration. Returns when all have
+    /// finished.
+    pub async fn run(node: SocketAddr, per_s: f64, duration: Duration, seed: u64) -> Rc<Self> {
+        let traffic = Rc::new(Traffic { node, idle: RefCell::default(), finished: RefCell::default() });
+        let (dice, started) = (Dice::new(seed), Instant::now());
         let mut clients = Vec::new();
-        let mut next = began;
-        while next - began < lasts {
-            next += dice.exp(Duration::from_secs_f64(1.0 / per_s));
-            sleep(next.saturating_duration_since(Instant::now())).await;
-            let id = format!("{seed:08x}{:08x}", clients.len());
+        let mut next_request_at = started;
+        while next_request_at - started < duration {
+            next_request_at += dice.exp(Duration::from_secs_f64(1.0 / per_s));
+            sleep(next_request_at.saturating_duration_since(Instant::now())).await;
+            let request_id = format!("{seed:08x}{:08x}", clients.len());
             let key = format!("k{}", dice.within(1, KEYS));
-            let wait = Duration::from_millis(dice.within(DEADLINE_MS.0, DEADLINE_MS.1));
-            let write = dice.within(0, WRITES) == 0;
-            clients.push(spawn_local(traffic.clone().request(id, key, wait, write)));
+            let deadline = Duration::from_millis(dice.within(MIN_DEADLINE_MS, MAX_DEADLINE_MS));
+            let write = dice.within(0, REQUESTS_PER_WRITE) == 0;
+            clients.push(spawn_local(traffic.clone().send_request(request_id, key, deadline, write)));
         }
         for client in clients {
             client.await.unwrap();
@@ -73,26 +75,27 @@
         traffic
     }
 
-    async fn request(self: Rc<Self>, request: String, key: String, wait: Duration, write: bool) {
+    async fn send_request(self: Rc<Self>, request_id: String, key: String, deadline: Duration, write: bool) {
         let class = if write { "put" } else { "read" };
-        let tenant = key.len() + request.as_bytes()[request.len() - 1] as usize;
-        let extras = format!("c={class},t=tenant-{},d={}", tenant % TENANTS, wait.as_millis());
-        let words = ["CACHE.GET", &key, &request, &extras];
+        let tenant = key.len() + request_id.as_bytes()[request_id.len() - 1] as usize;
+        let extras = format!("c={class},t=tenant-{},d={}", tenant % TENANTS, deadline.as_millis());
+        let arguments = ["CACHE.GET", &key, &request_id, &extras];
         let command = match write {
-            true => wire::encode(&["CACHE.SET", &key, &request, &extras, "value"]),
-            false => wire::encode(&words),
+            true => wire::encode(&["CACHE.SET", &key, &request_id, &extras, "value"]),
+            false => wire::encode(&arguments),
         };
-        let answered = timeout(wait + LATE, self.exchange(&command)).await;
-        let end = match answered {
-            Ok(Some(wire::Answer::Value(_))) => End::Served,
-            Ok(Some(wire::Answer::Busy(_))) => End::Refused,
-            Ok(Some(_)) => End::Failed,
-            Ok(None) | Err(_) => End::Lost,
+        let answered = timeout(deadline + ANSWER_GRACE, self.exchange(&command)).await;
+        let outcome = match answered {
+            Ok(Some(wire::Answer::Value(_))) => Outcome::Served,
+            Ok(Some(wire::Answer::Busy(_))) => Outcome::Refused,
+            Ok(Some(_)) => Outcome::Failed,
+            Ok(None) | Err(_) => Outcome::Lost,
         };
-        self.ended.borrow_mut().push(Ended { request, end, at: Instant::now() });
+        self.finished.borrow_mut().push(FinishedRequest { request_id, outcome, at: Instant::now() });
     }
 
-    /// Sends a command on an idle connection, or a new one, and reads its answer; `None` where the connection ends first.
+    /// Sends a command on an idle or a new connection and reads its answer. Returns `None` if the connection
+    /// ends first.
     async fn exchange(&self, command: &[u8]) -> Option<wire::Answer> {
         let idle = self.idle.borrow_mut().pop();
         let (mut stream, mut buffer) = match idle {
@@ -112,8 +115,8 @@
         }
     }
 
-    /// How many ended so.
-    pub fn count(&self, end: End) -> usize {
-        self.ended.borrow().iter().filter(|ended| ended.end == end).count()
+    /// Returns the number of requests with this outcome.
+    pub fn count(&self, outcome: Outcome) -> usize {
+        self.finished.borrow().iter().filter(|finished| finished.outcome == outcome).count()
     }
 }
