--- a/crates/mothpier-coordinator/src/config.rs
+++ b/crates/mothpier-coordinator/src/config.rs
@@ -1,4 +1,4 @@
-//! A coordinator's file, as people write it: HCL.
+//! A coordinator's configuration file, in HCL.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,116 +8,130 @@
 use hcl_edit::expr::Expression;
 use hcl_edit::structure::{Body, Structure};
 
-use crate::core::MOST_MEMBERS;
+use crate::core::MAX_MEMBERS;
 
-/// A tick: elections take 10 to 20 of them, a leader's words come every second one.
-pub const TICK: Duration = Duration::from_millis(50);
+/// Default tick: an election times out after 10 to 20 ticks, and a leader sends heartbeats every second tick.
+pub const DEFAULT_TICK: Duration = Duration::from_millis(50);
 
-/// What a coordinator is told.
+/// Configuration of a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// The fleet's name.
+    /// Name of the cluster.
     pub cluster: String,
-    /// This member's number.
+    /// Number of this member.
     pub member: u64,
-    /// Where it listens.
+    /// Address to listen at.
     pub listen: SocketAddr,
-    /// Its folder.
+    /// Folder of the store.
     pub folder: PathBuf,
-    /// Where this member reaches each member, itself among them.
+    /// Address of each member, including this one, as this member reaches it.
     pub members: BTreeMap<u64, SocketAddr>,
-    /// Between two ticks.
+    /// Interval between two raft ticks.
     pub tick: Duration,
 }
 
-/// A laptop's: one member, alone.
+/// Returns the configuration of a single-member cluster, for use on a laptop.
 pub fn single(folder: PathBuf, listen: SocketAddr) -> Config {
-    Config { cluster: "single".into(), member: 1, listen, folder, members: [(1, listen)].into(), tick: TICK }
+    Config {
+        cluster: "single".into(),
+        member: 1,
+        listen,
+        folder,
+        members: [(1, listen)].into(),
+        tick: DEFAULT_TICK,
+    }
 }
 
-/// Reads a file.
+/// Parses a configuration file.
 ///
 /// # Errors
 ///
-/// Everything that is wrong with it, a line each.
+/// Returns all errors in the file, one a line.
 pub fn parse(text: &str) -> Result<Config, String> {
     let body: Body = text.parse().map_err(|e| format!("not HCL: {e}"))?;
-    let mut wrong = Vec::new();
-    let mut texts: BTreeMap<&str, String> = BTreeMap::new();
-    let mut seen = BTreeSet::new();
+    let mut errors = Vec::new();
+    let mut attributes: BTreeMap<&str, String> = BTreeMap::new();
+    let mut seen_names = BTreeSet::new();
     let mut members = BTreeMap::new();
-    for part in &body {
-        match part {
-            Structure::Attribute(a) => {
-                let name = a.key.as_str();
-                let known =
-                    ["cluster", "member", "listen", "folder", "tick_ms"].into_iter().find(|k| *k == name);
-                match (known, written(&a.value)) {
-                    (None, _) => wrong.push(format!("{name}: not known here")),
-                    (Some(_), None) => wrong.push(format!("{name}: a text or a whole number is wanted")),
-                    (Some(k), Some(value)) => {
-                        texts.insert(k, value);
+    for item in &body {
+        match item {
+            Structure::Attribute(attribute) => {
+                let name = attribute.key.as_str();
+                let known_name = ["cluster", "member", "listen", "folder", "tick_ms"]
+                    .into_iter()
+                    .find(|known_key| *known_key == name);
+                match (known_name, scalar_text(&attribute.value)) {
+                    (None, _) => errors.push(format!("{name}: unknown setting")),
+                    (Some(_), None) => errors.push(format!("{name}: expected a string or a whole number")),
+                    (Some(known_key), Some(value)) => {
+                        attributes.insert(known_key, value);
                     }
                 }
-                if !seen.insert(name.to_owned()) {
-                    wrong.push(format!("{name}: said twice"));
+                if !seen_names.insert(name.to_owned()) {
+                    errors.push(format!("{name}: given twice"));
                 }
             }
-            Structure::Block(b) if b.ident.as_str() == "peer" => {
-                let label = b.labels.first().map(|l| l.as_str().to_owned()).unwrap_or_default();
-                let address = b.body.iter().find_map(|s| match s {
-                    Structure::Attribute(a) if a.key.as_str() == "address" => written(&a.value),
+            Structure::Block(block) if block.ident.as_str() == "peer" => {
+                let label = block.labels.first().map(|l| l.as_str().to_owned()).unwrap_or_default();
+                let address = block.body.iter().find_map(|s| match s {
+                    Structure::Attribute(attribute) if attribute.key.as_str() == "address" => {
+                        scalar_text(&attribute.value)
+                    }
                     _ => None,
                 });
-                let (number, address) = (label.parse::<u64>().ok(), address.and_then(|a| a.parse().ok()));
+                let (number, address) =
+                    (label.parse::<u64>().ok(), address.and_then(|text| text.parse().ok()));
                 match (number.filter(|n| *n > 0), address) {
                     (Some(number), Some(address)) => {
                         if members.insert(number, address).is_some() {
-                            wrong.push(format!("peer {label:?}: said twice"));
+                            errors.push(format!("peer {label:?}: given twice"));
                         }
                     }
                     (None, _) => {
-                        wrong.push(format!("peer {label:?}: its label is a member's number, from 1"))
+                        errors.push(format!("peer {label:?}: the label must be a member's number, from 1"))
+                    }
+                    (_, None) => {
+                        errors.push(format!("peer {label:?}: `address` must be an IP address and a port"))
                     }
-                    (_, None) => wrong.push(format!("peer {label:?}: `address` is an IP address and a port")),
                 }
             }
-            Structure::Block(b) => wrong.push(format!("{}: not known here", b.ident.as_str())),
+            Structure::Block(block) => errors.push(format!("{}: unknown block", block.ident.as_str())),
         }
     }
-    let mut take = |name: &str| {
-        let text = texts.get(name).cloned();
+    let mut required = |name: &str| {
+        let text = attributes.get(name).cloned();
         if text.is_none() {
-            wrong.push(format!("{name}: missing"));
+            errors.push(format!("{name}: missing"));
         }
         text.unwrap_or_default()
     };
-    let (cluster, member, listen, folder) = (take("cluster"), take("member"), take("listen"), take("folder"));
-    let tick_ms = texts.get("tick_ms").cloned().unwrap_or_else(|| TICK.as_millis().to_string());
+    let (cluster, member, listen, folder) =
+        (required("cluster"), required("member"), required("listen"), required("folder"));
+    let tick_ms = attributes.get("tick_ms").cloned().unwrap_or_else(|| DEFAULT_TICK.as_millis().to_string());
     let number = member.parse().ok().filter(|n| members.contains_key(n));
     if !member.is_empty() && number.is_none() {
-        wrong.push(format!("member: no `peer` block has the number {member}"));
+        errors.push(format!("member: no `peer` block has the number {member}"));
     }
     let address: Option<SocketAddr> = listen.parse().ok();
     if !listen.is_empty() && address.is_none() {
-        wrong.push(format!("listen: {listen:?} is no IP address and port"));
+        errors.push(format!("listen: {listen:?} is not an IP address and port"));
     }
     if !cluster.is_empty() && !mothpier_coordination::limits::is_name(&cluster) {
-        wrong.push("cluster: letters, digits and -_.:@/ and at most 128 of them".into());
+        errors.push("cluster: only letters, digits and -_.:@/ are allowed, at most 128 of them".into());
     }
-    let places: BTreeSet<_> = members.values().collect();
-    if places.len() < members.len() {
-        wrong.push("peer: two members have the same address".into());
+    let addresses: BTreeSet<_> = members.values().collect();
+    if addresses.len() < members.len() {
+        errors.push("peer: two members have the same address".into());
     }
-    if members.len() > MOST_MEMBERS {
-        wrong.push(format!("peer: {MOST_MEMBERS} members at the most; each write waits for most of them"));
+    if members.len() > MAX_MEMBERS {
+        errors.push(format!("peer: at most {MAX_MEMBERS} members; each write waits for a majority of them"));
     }
     let tick = tick_ms.parse().ok().filter(|ms| (10..=5000).contains(ms));
     if tick.is_none() {
-        wrong.push(format!("tick_ms: {tick_ms:?} lies outside 10 to 5000"));
+        errors.push(format!("tick_ms: {tick_ms:?} is outside 10 to 5000"));
     }
     match (number, address, tick) {
-        (Some(member), Some(listen), Some(tick)) if wrong.is_empty() => Ok(Config {
+        (Some(member), Some(listen), Some(tick)) if errors.is_empty() => Ok(Config {
             cluster,
             member,
             listen,
@@ -125,11 +139,12 @@
             members,
             tick: Duration::from_millis(tick),
         }),
-        _ => Err(wrong.join("\n")),
+        _ => Err(errors.join("\n")),
     }
 }
 
-fn written(value: &Expression) -> Option<String> {
+/// Returns the text of a string or number; `None` for any other expression.
+fn scalar_text(value: &Expression) -> Option<String> {
     match value {
         Expression::String(s) => Some(s.value().clone()),
         Expression::Number(n) => Some(n.value().to_string()),
--- a/crates/mothpier-coordinator/src/config/tests.rs
+++ b/crates/mothpier-coordinator/src/config/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 cluster = "manila"
 member  = 2
 listen  = "127.0.0.1:7102"
@@ -11,15 +11,15 @@
 "#;
 
 #[test]
-fn a_file_is_read_and_all_that_is_wrong_with_one_is_told_at_once() {
-    let config = parse(GOOD).unwrap();
-    assert_eq!((config.member, config.members.len(), config.tick), (2, 3, TICK));
-    let bad = GOOD.replace("member  = 2", "member = 9\ncolour = 1").replace("7103", "7101");
-    let wrong = parse(&bad).unwrap_err();
-    for part in ["member: no `peer`", "colour: not known", "the same address"] {
-        assert!(wrong.contains(part), "{wrong}");
+fn a_file_is_parsed_and_all_its_errors_are_reported_together() {
+    let config = parse(VALID).unwrap();
+    assert_eq!((config.member, config.members.len(), config.tick), (2, 3, DEFAULT_TICK));
+    let invalid = VALID.replace("member  = 2", "member = 9\ncolour = 1").replace("7103", "7101");
+    let errors = parse(&invalid).unwrap_err();
+    for message in ["member: no `peer`", "colour: unknown setting", "the same address"] {
+        assert!(errors.contains(message), "{errors}");
     }
     assert!(parse("cluster = ").unwrap_err().starts_with("not HCL"));
     assert!(parse("").unwrap_err().contains("folder: missing"));
-    assert!(parse(&GOOD.replace("cluster", "tick_ms = 1\ncluster")).unwrap_err().contains("10 to 5000"));
+    assert!(parse(&VALID.replace("cluster", "tick_ms = 1\ncluster")).unwrap_err().contains("10 to 5000"));
 }
--- a/crates/mothpier-coordinator/src/peers.rs
+++ b/crates/mothpier-coordinator/src/peers.rs
@@ -1,5 +1,5 @@
-//! Messages to other members: one connection to each, made anew when it fails; what can't be sent now is dropped, for the
-//! library sends again what still matters.
+//! Sends raft messages to other members, over one connection to each that is re-established when it fails.
+//! Messages that can't be sent now are dropped, because the raft library resends what is still needed.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,14 +18,15 @@
 
 use crate::Member;
 
-/// Batches that wait for a member.
-pub const WAITING: usize = 64;
-/// Connecting, and an answer to a batch: a link that accepts and is silent is given up.
-const WITHIN: Duration = Duration::from_secs(1);
-/// After a failure.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Batches of messages that may wait for one member.
+pub const MAX_QUEUED_BATCHES: usize = 64;
+/// Time limit for connecting and for the response to a batch, so that a peer that accepts connections but
+/// does not answer is given up.
+const IO_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Sends what comes to a member for as long as there is one.
+/// Sends batches from the queue to one member until the queue is closed.
 pub async fn run<N: Net>(
     member: Rc<Member<N>>,
     to: u64,
@@ -34,13 +35,13 @@
 ) {
     let net = member.net.clone();
     while let Some(mut batch) = batches.recv().await {
-        // All that is there goes at once.
+        // All queued batches go in one request.
         while let Ok(more) = batches.try_recv() {
             batch.extend(more);
         }
-        let Some(Ok(stream)) = net.timeout(WITHIN, net.connect(address)).await else {
-            member.unreachable(to);
-            net.sleep(PAUSE).await;
+        let Some(Ok(stream)) = net.timeout(IO_TIMEOUT, net.connect(address)).await else {
+            member.report_unreachable(to);
+            net.sleep(RETRY_DELAY).await;
             continue;
         };
         stream.set_nodelay();
@@ -60,21 +61,21 @@
                 .header(CLUSTER, &member.config.cluster)
                 .body(Full::new(Bytes::from(bytes)));
             let Ok(request) = request else { break };
-            let answered = net.timeout(WITHIN, async {
+            let result = net.timeout(IO_TIMEOUT, async {
                 sender.ready().await?;
                 let reply = sender.send_request(request).await?;
-                let good = reply.status().is_success();
+                let accepted = reply.status().is_success();
                 http_body_util::BodyExt::collect(reply.into_body()).await?;
-                Ok::<_, hyper::Error>(good)
+                Ok::<_, hyper::Error>(accepted)
             });
-            match answered.await {
+            match result.await {
                 Some(Ok(true)) => {}
                 other => {
                     if let Some(Ok(false)) = other {
-                        net.log(format_args!("member {to} at {address} refuses this member's messages"));
+                        net.log(format_args!("member {to} at {address} rejects this member's messages"));
                     }
-                    member.unreachable(to);
-                    net.sleep(PAUSE).await;
+                    member.report_unreachable(to);
+                    net.sleep(RETRY_DELAY).await;
                     break;
                 }
             }
--- a/crates/mothpier-coordinator/src/store.rs
+++ b/crates/mothpier-coordinator/src/store.rs
@@ -1,5 +1,6 @@
-//! What a coordinator must still know after a crash at any byte: its vote, its log, its snapshot. An embedded store with
-//! transactions holds them; a write counts when the transaction that holds it is synced.
+//! Durable state of a coordinator: its raft hard state (term and vote), its log and its snapshot. They are
+//! held in an embedded transactional database, so that they survive a crash at any byte; a write counts once
+//! its transaction is synced.
 
 use std::path::Path;
 
@@ -10,41 +11,41 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Who this is, as JSON; what the store's format is.
-const ABOUT: TableDefinition<&str, &[u8]> = TableDefinition::new("about");
-/// The log by its indices.
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// The vote and the snapshot.
-const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
+/// Identity of the member and format of the store, as JSON.
+const IDENTITY_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("about");
+/// Log entries by index.
+const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+/// The hard state and the snapshot.
+const STATE_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
 
-/// Version of the tables.
-const FORMAT: u32 = 1;
-/// The file within a coordinator's folder.
-const FILE: &str = "coordinator.redb";
-/// Every member of a fleet begins with a snapshot at this index and term, and the same members in it.
-const FIRST: u64 = 1;
+/// Version of the tables' format.
+const FORMAT_VERSION: u32 = 1;
+/// Name of the database file in a coordinator's folder.
+const STORE_FILE_NAME: &str = "coordinator.redb";
+/// Index and term of the initial snapshot, which lists the same members at each founding member.
+const INITIAL_INDEX_AND_TERM: u64 = 1;
 
-/// Who a coordinator is.
+/// Identity of a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct About {
-    /// Of the tables.
+pub struct Identity {
+    /// Version of the tables' format.
     pub format: u32,
-    /// The fleet's name: no other fleet's coordinators or clients are let in.
+    /// Name of the cluster. Coordinators and clients of other clusters are rejected.
     pub cluster: String,
-    /// The number of this member; one that has lost its store never comes back under it.
+    /// Number of this member. A member that has lost its store must never rejoin under the same number.
     pub member: u64,
 }
 
-/// What was found in a store.
-pub struct Found {
-    /// Who it is.
-    pub about: About,
-    /// The vote.
-    pub vote: HardState,
-    /// The snapshot, with the members in its metadata.
+/// Contents of a store.
+pub struct StoredState {
+    /// Identity of the member.
+    pub identity: Identity,
+    /// Term, vote and commit index.
+    pub hard_state: HardState,
+    /// The snapshot, whose metadata lists the members.
     pub snapshot: Snapshot,
-    /// The log behind it.
+    /// Log entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
@@ -53,275 +54,301 @@
     db: Database,
 }
 
-/// What can't be done with a store, in words that say what to do.
+/// An error of a coordinator, with a message that tells the operator what to do.
 #[derive(Debug)]
-pub enum Trouble {
-    /// The disk fails or is full: it may be better later, and what is on it has to be read back then.
-    DiskFails(String),
-    /// The store, or something else that is needed, can't be used as it is.
+pub enum CoordinatorError {
+    /// The disk failed or is full. The condition may pass; the store has to be read again then.
+    DiskFailure(String),
+    /// The store, or another required resource, can't be used in its present state.
     Unusable(String),
 }
 
-impl std::fmt::Display for Trouble {
+impl std::fmt::Display for CoordinatorError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (Trouble::DiskFails(why) | Trouble::Unusable(why)) = self;
-        f.write_str(why)
+        let (CoordinatorError::DiskFailure(message) | CoordinatorError::Unusable(message)) = self;
+        f.write_str(message)
     }
 }
 
-/// Whether an error is one of a disk that is full or broken, which may pass.
-fn is_of_the_disk(error: &std::io::Error) -> bool {
+/// Returns whether an error means a full or failing disk, a condition that may pass.
+fn is_disk_failure(error: &std::io::Error) -> bool {
     const INPUT_OUTPUT_ERROR: i32 = 5;
     error.kind() == std::io::ErrorKind::StorageFull || error.raw_os_error() == Some(INPUT_OUTPUT_ERROR)
 }
 
-fn trouble<E: std::fmt::Display>(what: &'static str) -> impl Fn(E) -> Trouble {
-    move |e| Trouble::Unusable(format!("{what}: {e}"))
+fn unusable<E: std::fmt::Display>(context: &'static str) -> impl Fn(E) -> CoordinatorError {
+    move |e| CoordinatorError::Unusable(format!("{context}: {e}"))
 }
 
-/// Fills a new store.
-fn found(db: &Database, cluster: &str, member: u64, members: &[u64], state: &[u8]) -> Result<(), Trouble> {
-    let about = About { format: FORMAT, cluster: cluster.into(), member };
-    let found = first(about, members, state);
-    fill(db, &found).map_err(trouble("the store can't be made"))
+/// Writes the initial contents of a new store.
+fn initialize(
+    db: &Database,
+    cluster: &str,
+    member: u64,
+    members: &[u64],
+    state: &[u8],
+) -> Result<(), CoordinatorError> {
+    let identity = Identity { format: FORMAT_VERSION, cluster: cluster.into(), member };
+    let initial = initial_contents(identity, members, state);
+    write_all(db, &initial).map_err(unusable("can't create the store"))
 }
 
-/// What a new member of a fleet, or one that joins it, begins with.
-fn first(about: About, members: &[u64], state: &[u8]) -> Found {
-    let (mut snapshot, mut vote) = (Snapshot::default(), HardState::default());
-    // One that joins knows nothing, not even who votes: the leader tells it.
+/// Returns the initial contents for a founding member or, with no members given, for one that joins.
+fn initial_contents(identity: Identity, members: &[u64], state: &[u8]) -> StoredState {
+    let (mut snapshot, mut hard_state) = (Snapshot::default(), HardState::default());
+    // A joining member starts empty, without even the list of voters: the leader sends it a snapshot.
     if !members.is_empty() {
-        snapshot.mut_metadata().index = FIRST;
-        snapshot.mut_metadata().term = FIRST;
+        snapshot.mut_metadata().index = INITIAL_INDEX_AND_TERM;
+        snapshot.mut_metadata().term = INITIAL_INDEX_AND_TERM;
         snapshot
             .mut_metadata()
             .set_conf_state(ConfState { voters: members.to_vec(), ..ConfState::default() });
         snapshot.set_data(state.to_vec().into());
-        (vote.term, vote.commit) = (FIRST, FIRST);
+        (hard_state.term, hard_state.commit) = (INITIAL_INDEX_AND_TERM, INITIAL_INDEX_AND_TERM);
     }
-    Found { about, vote, snapshot, entries: Vec::new() }
+    StoredState { identity, hard_state, snapshot, entries: Vec::new() }
 }
 
-/// Writes all that a store holds, synced before it returns.
-fn fill(db: &Database, all: &Found) -> Result<(), Box<dyn std::error::Error>> {
-    let about = serde_json::to_vec(&all.about)?;
-    let txn = db.begin_write()?;
-    txn.open_table(ABOUT)?.insert("about", about.as_slice())?;
+/// Writes the full contents of a store in one transaction, which is synced before the function returns.
+fn write_all(db: &Database, contents: &StoredState) -> Result<(), Box<dyn std::error::Error>> {
+    let identity = serde_json::to_vec(&contents.identity)?;
+    let transaction = db.begin_write()?;
+    transaction.open_table(IDENTITY_TABLE)?.insert("about", identity.as_slice())?;
     {
-        let mut log = txn.open_table(LOG)?;
-        for entry in &all.entries {
+        let mut log = transaction.open_table(LOG_TABLE)?;
+        for entry in &contents.entries {
             log.insert(entry.index, entry.write_to_bytes()?.as_slice())?;
         }
-        let mut state = txn.open_table(STATE)?;
-        state.insert("vote", all.vote.write_to_bytes()?.as_slice())?;
-        state.insert("snapshot", all.snapshot.write_to_bytes()?.as_slice())?;
+        let mut state = transaction.open_table(STATE_TABLE)?;
+        state.insert("vote", contents.hard_state.write_to_bytes()?.as_slice())?;
+        state.insert("snapshot", contents.snapshot.write_to_bytes()?.as_slice())?;
     }
-    txn.commit()?;
+    transaction.commit()?;
     Ok(())
 }
 
-/// Fills a store aside and gives it its name when it is whole: a crash in between leaves the one before.
-fn replace(folder: &Path, fill: impl FnOnce(&Database) -> Result<(), Trouble>) -> Result<(), Trouble> {
-    let aside = folder.join(format!("{FILE}.new"));
-    let _ = std::fs::remove_file(&aside);
-    let db = Database::create(&aside).map_err(trouble("the store can't be made"))?;
-    fill(&db)?;
+/// Writes a store to a temporary file and renames it once it is complete: a crash in between leaves the old
+/// store.
+fn replace_store_file(
+    folder: &Path,
+    write: impl FnOnce(&Database) -> Result<(), CoordinatorError>,
+) -> Result<(), CoordinatorError> {
+    let temporary_file = folder.join(format!("{STORE_FILE_NAME}.new"));
+    let _ = std::fs::remove_file(&temporary_file);
+    let db = Database::create(&temporary_file).map_err(unusable("can't create the store"))?;
+    write(&db)?;
     drop(db);
-    std::fs::rename(&aside, folder.join(FILE)).map_err(trouble("the store can't be named"))?;
-    std::fs::File::open(folder).and_then(|f| f.sync_all()).map_err(trouble("the folder can't be synced"))
+    std::fs::rename(&temporary_file, folder.join(STORE_FILE_NAME))
+        .map_err(unusable("can't rename the new store"))?;
+    std::fs::File::open(folder).and_then(|f| f.sync_all()).map_err(unusable("can't sync the folder"))
 }
 
 impl Store {
-    /// Makes a store as `init` does, on a device of one's own.
+    /// Creates a store as [`Store::init`] does, on a given storage backend.
     ///
     /// # Errors
     ///
-    /// A device that can't be written.
-    pub fn init_on(
-        device: impl StorageBackend,
+    /// Returns an error if the backend can't be written.
+    pub fn init_with_backend(
+        backend: impl StorageBackend,
         cluster: &str,
         member: u64,
         members: &[u64],
         state: &[u8],
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), CoordinatorError> {
         let db =
-            Database::builder().create_with_backend(device).map_err(trouble("the store can't be made"))?;
-        found(&db, cluster, member, members, state)
+            Database::builder().create_with_backend(backend).map_err(unusable("can't create the store"))?;
+        initialize(&db, cluster, member, members, state)
     }
 
-    /// Opens a store on a device of one's own and reads all of it.
+    /// Opens a store on a given storage backend and reads its contents.
     ///
     /// # Errors
     ///
-    /// One that is cut, foreign or newer.
-    pub fn open_on(device: impl StorageBackend) -> Result<(Store, Found), Trouble> {
+    /// Returns an error if the store is truncated, is not a coordinator's, or was written by a newer program.
+    pub fn open_with_backend(backend: impl StorageBackend) -> Result<(Store, StoredState), CoordinatorError> {
         let db =
-            Database::builder().create_with_backend(device).map_err(trouble("the store can't be opened"))?;
+            Database::builder().create_with_backend(backend).map_err(unusable("can't open the store"))?;
         let store = Store { db };
-        let found = store.read().map_err(trouble("the store can't be read"))?;
-        Ok((store, found))
+        let stored = store.read().map_err(unusable("can't read the store"))?;
+        Ok((store, stored))
     }
 
-    /// Makes a store for a member of a new fleet, or, with no members, for one that joins a fleet. There must be none.
+    /// Creates a store for a founding member or, with no members given, for one that joins an existing
+    /// cluster.
     ///
     /// # Errors
     ///
-    /// A folder that has one already, or can't be written.
+    /// Returns an error if the folder has a store already or can't be written.
     pub fn init(
         folder: &Path,
         cluster: &str,
         member: u64,
         members: &[u64],
         state: &[u8],
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), CoordinatorError> {
         std::fs::create_dir_all(folder)
-            .map_err(|e| Trouble::Unusable(format!("{} can't be made: {e}", folder.display())))?;
-        let file = folder.join(FILE);
+            .map_err(|e| CoordinatorError::Unusable(format!("can't create {}: {e}", folder.display())))?;
+        let file = folder.join(STORE_FILE_NAME);
         if file.exists() {
-            return Err(Trouble::Unusable(format!(
-                "{} is there already: a member's store is made once, and a member that lost its own comes as a new one",
+            return Err(CoordinatorError::Unusable(format!(
+                "{} already exists: a member's store is created once, and a member that has lost its store \
+                 must join under a new number",
                 file.display()
             )));
         }
-        replace(folder, |db| found(db, cluster, member, members, state))
+        replace_store_file(folder, |db| initialize(db, cluster, member, members, state))
     }
 
-    /// Opens a store whose disk has failed. What can be read back is written anew, to another file that takes the place of
-    /// the first: after a failed sync the kernel may hold as clean what never reached the disk, and a second sync of the
-    /// same file would say nothing of it.
+    /// Opens a store after a disk failure. Everything that can be read is written to a new file, which
+    /// replaces the old one: after a failed sync, the kernel may have marked pages as clean that never
+    /// reached the disk, and another sync of the same file would not report that.
     ///
     /// # Errors
     ///
-    /// As [`Store::open`], and a disk that fails still.
-    pub fn reopen(folder: &Path) -> Result<(Store, Found), Trouble> {
-        let (store, found) = Store::open(folder)?;
+    /// As [`Store::open`]; also returns an error while the disk still fails.
+    pub fn reopen(folder: &Path) -> Result<(Store, StoredState), CoordinatorError> {
+        let (store, stored) = Store::open(folder)?;
         drop(store);
-        replace(folder, |db| fill(db, &found).map_err(trouble("the store can't be written anew")))?;
+        replace_store_file(folder, |db| write_all(db, &stored).map_err(unusable("can't rewrite the store")))?;
         Store::open(folder)
     }
 
-    /// Whether a folder holds a store.
-    pub fn is_in(folder: &Path) -> bool {
-        folder.join(FILE).exists()
+    /// Returns whether a folder holds a store.
+    pub fn exists_in(folder: &Path) -> bool {
+        folder.join(STORE_FILE_NAME).exists()
     }
 
-    /// Opens a store and reads all of it.
+    /// Opens a store and reads its contents.
     ///
     /// # Errors
     ///
-    /// None there, one that another process has open, and one that is cut, foreign or newer.
-    pub fn open(folder: &Path) -> Result<(Store, Found), Trouble> {
-        let file = folder.join(FILE);
-        let name = file.display();
+    /// Returns an error if there is no store, if another process has it open, or if it is truncated, is not a
+    /// coordinator's, or was written by a newer program.
+    pub fn open(folder: &Path) -> Result<(Store, StoredState), CoordinatorError> {
+        let file = folder.join(STORE_FILE_NAME);
+        let path = file.display();
         if !file.exists() {
-            return Err(Trouble::Unusable(format!(
-                "{name} is not there: `init` makes one for a new fleet; a member that has lost its store must not come \
-                 back under its number, for it may have voted"
+            return Err(CoordinatorError::Unusable(format!(
+                "{path} does not exist: `init` creates it for a new cluster; a member that has lost its \
+                 store must not rejoin under its old number, because it may have voted"
             )));
         }
         let db = Database::open(&file).map_err(|e| match e {
             DatabaseError::DatabaseAlreadyOpen => {
-                Trouble::Unusable(format!("{name}: another process has it open"))
+                CoordinatorError::Unusable(format!("{path}: another process has it open"))
             }
-            DatabaseError::Storage(StorageError::Corrupted(why)) => {
-                Trouble::Unusable(format!("{name} is damaged: {why}"))
+            DatabaseError::Storage(StorageError::Corrupted(message)) => {
+                CoordinatorError::Unusable(format!("{path} is damaged: {message}"))
             }
-            DatabaseError::Storage(StorageError::Io(e)) if is_of_the_disk(&e) => {
-                Trouble::DiskFails(format!("{name} can't be opened: {e}"))
+            DatabaseError::Storage(StorageError::Io(e)) if is_disk_failure(&e) => {
+                CoordinatorError::DiskFailure(format!("{path} can't be opened: {e}"))
             }
-            e => Trouble::Unusable(format!("{name} can't be opened: {e}")),
+            e => CoordinatorError::Unusable(format!("{path} can't be opened: {e}")),
         })?;
         let store = Store { db };
-        let found = store.read().map_err(|e| Trouble::Unusable(format!("{name} can't be read: {e}")))?;
-        if found.about.format != FORMAT {
-            let format = found.about.format;
-            return Err(Trouble::Unusable(format!(
-                "{name} has format {format}; this program reads {FORMAT}"
+        let stored =
+            store.read().map_err(|e| CoordinatorError::Unusable(format!("{path} can't be read: {e}")))?;
+        if stored.identity.format != FORMAT_VERSION {
+            let format = stored.identity.format;
+            return Err(CoordinatorError::Unusable(format!(
+                "{path} has format version {format}; this program reads version {FORMAT_VERSION}"
             )));
         }
-        Ok((store, found))
+        Ok((store, stored))
     }
 
-    fn read(&self) -> Result<Found, Box<dyn std::error::Error>> {
-        let txn = self.db.begin_read()?;
-        let about =
-            txn.open_table(ABOUT)?.get("about")?.ok_or("it does not say whose it is")?.value().to_vec();
-        let state = txn.open_table(STATE)?;
-        let part = |name| {
-            Ok::<_, Box<dyn std::error::Error>>(state.get(name)?.ok_or("a part is missing")?.value().to_vec())
+    fn read(&self) -> Result<StoredState, Box<dyn std::error::Error>> {
+        let transaction = self.db.begin_read()?;
+        let identity = transaction
+            .open_table(IDENTITY_TABLE)?
+            .get("about")?
+            .ok_or("the member's identity is missing")?
+            .value()
+            .to_vec();
+        let state = transaction.open_table(STATE_TABLE)?;
+        let state_value = |key| {
+            Ok::<_, Box<dyn std::error::Error>>(
+                state.get(key)?.ok_or("the hard state or the snapshot is missing")?.value().to_vec(),
+            )
         };
         let mut entries = Vec::new();
-        for line in txn.open_table(LOG)?.iter()? {
-            let (index, bytes) = line?;
+        for stored_entry in transaction.open_table(LOG_TABLE)?.iter()? {
+            let (index, bytes) = stored_entry?;
             let entry = Entry::parse_from_bytes(bytes.value())?;
             if entry.index != index.value() {
-                return Err(format!("line {} of the log holds line {}", index.value(), entry.index).into());
+                return Err(
+                    format!("the log entry at index {} has index {}", index.value(), entry.index).into()
+                );
             }
             entries.push(entry);
         }
-        let snapshot = Snapshot::parse_from_bytes(&part("snapshot")?)?;
-        let next = snapshot.get_metadata().index + 1;
-        entries.retain(|e| e.index >= next);
-        if entries.iter().zip(next..).any(|(e, index)| e.index != index) {
-            return Err("lines of the log are missing".into());
+        let snapshot = Snapshot::parse_from_bytes(&state_value("snapshot")?)?;
+        let next_index = snapshot.get_metadata().index + 1;
+        entries.retain(|e| e.index >= next_index);
+        if entries.iter().zip(next_index..).any(|(e, index)| e.index != index) {
+            return Err("log entries are missing".into());
         }
-        Ok(Found {
-            about: serde_json::from_slice(&about)?,
-            vote: HardState::parse_from_bytes(&part("vote")?)?,
+        Ok(StoredState {
+            identity: serde_json::from_slice(&identity)?,
+            hard_state: HardState::parse_from_bytes(&state_value("vote")?)?,
             snapshot,
             entries,
         })
     }
 
-    /// Keeps what must not be lost: in one transaction, synced before it returns.
+    /// Writes an update in one transaction, which is synced before the method returns.
     ///
     /// # Errors
     ///
-    /// A disk that is full or broken: nothing may be said any more by what this store should hold, and the store has to be
-    /// opened anew ([`Store::reopen`]).
-    pub fn keep(&self, change: &Kept<'_>) -> Result<(), Trouble> {
-        self.write(change).map_err(|e| Trouble::DiskFails(format!("the store can't be written: {e}")))
+    /// Returns an error if the disk is full or fails. The member must then send nothing that relies on this
+    /// update, and the store has to be reopened ([`Store::reopen`]).
+    pub fn persist(&self, update: &StoreUpdate<'_>) -> Result<(), CoordinatorError> {
+        self.write(update)
+            .map_err(|e| CoordinatorError::DiskFailure(format!("the store can't be written: {e}")))
     }
 
-    fn write(&self, change: &Kept<'_>) -> Result<(), Box<dyn std::error::Error>> {
-        let txn = self.db.begin_write()?;
+    fn write(&self, update: &StoreUpdate<'_>) -> Result<(), Box<dyn std::error::Error>> {
+        let transaction = self.db.begin_write()?;
         {
-            let mut state = txn.open_table(STATE)?;
-            let mut log = txn.open_table(LOG)?;
-            if let Some(vote) = change.vote {
-                state.insert("vote", vote.write_to_bytes()?.as_slice())?;
+            let mut state = transaction.open_table(STATE_TABLE)?;
+            let mut log = transaction.open_table(LOG_TABLE)?;
+            if let Some(hard_state) = update.hard_state {
+                state.insert("vote", hard_state.write_to_bytes()?.as_slice())?;
             }
-            if let Some(snapshot) = change.snapshot {
+            if let Some(snapshot) = update.snapshot {
                 state.insert("snapshot", snapshot.write_to_bytes()?.as_slice())?;
-                log.retain_in(..change.keep_from.min(snapshot.get_metadata().index + 1), |_, _| false)?;
-                if change.replaces {
+                log.retain_in(..update.first_kept_index.min(snapshot.get_metadata().index + 1), |_, _| {
+                    false
+                })?;
+                if update.replaces_log {
                     log.retain(|_, _| false)?;
                 }
             }
-            if let Some(first) = change.entries.first() {
-                // What another leader had written behind is not the log's any more.
+            if let Some(first) = update.entries.first() {
+                // Entries of a deposed leader from this index on are no longer part of the log.
                 log.retain_in(first.index.., |_, _| false)?;
             }
-            for entry in change.entries {
+            for entry in update.entries {
                 log.insert(entry.index, entry.write_to_bytes()?.as_slice())?;
             }
         }
-        txn.commit()?;
+        transaction.commit()?;
         Ok(())
     }
 }
 
-/// What is kept at once.
+/// Changes that are written in one transaction.
 #[derive(Default)]
-pub struct Kept<'a> {
-    /// The vote, where it changed.
-    pub vote: Option<&'a HardState>,
-    /// Lines of the log, in place of all from the first one's index on.
+pub struct StoreUpdate<'a> {
+    /// The hard state, if it changed.
+    pub hard_state: Option<&'a HardState>,
+    /// Log entries, which replace all entries from the index of the first one on.
     pub entries: &'a [Entry],
-    /// A snapshot.
+    /// A new snapshot.
     pub snapshot: Option<&'a Snapshot>,
-    /// It comes from a leader and stands for all of the log.
-    pub replaces: bool,
-    /// Lines before this one go with a snapshot of this member's own.
-    pub keep_from: u64,
+    /// The snapshot comes from a leader and replaces the whole log.
+    pub replaces_log: bool,
+    /// Entries before this index are deleted, when a snapshot of this member is written.
+    pub first_kept_index: u64,
 }
--- a/crates/mothpier-coordinator/tests/store.rs
+++ b/crates/mothpier-coordinator/tests/store.rs
@@ -1,88 +1,99 @@
-//! The store: what was kept is found again, whatever else was on its way; what can't be trusted is refused by name.
+//! Tests of the store: persisted data is read back, and a store that can't be trusted is rejected with an
+//! error that names it.
 #![allow(missing_docs)]
 
-use mothpier_coordinator::store::{Kept, Store};
+use mothpier_coordinator::store::{Store, StoreUpdate};
 use raft::eraftpb::{Entry, HardState};
 
-fn line(index: u64, term: u64) -> Entry {
+fn entry(index: u64, term: u64) -> Entry {
     Entry { index, term, data: format!("line {index} of {term}").into(), ..Entry::default() }
 }
 
-fn made() -> tempfile::TempDir {
+fn new_store() -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     Store::init(folder.path(), "manila", 1, &[1, 2, 3], b"state").unwrap();
     folder
 }
 
-fn refusal(folder: &std::path::Path) -> String {
+fn open_error(folder: &std::path::Path) -> String {
     match Store::open(folder) {
         Ok(_) => panic!("opened"),
-        Err(why) => why.to_string(),
+        Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn what_was_kept_is_found_and_lines_of_a_deposed_leader_are_gone() {
-    let folder = made();
-    let (store, found) = Store::open(folder.path()).unwrap();
-    assert_eq!((found.about.member, found.snapshot.get_metadata().index), (1, 1));
-    assert_eq!(found.snapshot.get_metadata().get_conf_state().voters, [1, 2, 3]);
-    let vote = HardState { term: 4, vote: 2, commit: 1, ..HardState::default() };
-    let lines = [line(2, 4), line(3, 4), line(4, 4)];
-    store.keep(&Kept { vote: Some(&vote), entries: &lines, ..Kept::default() }).unwrap();
-    store.keep(&Kept { entries: &[line(3, 5)], ..Kept::default() }).unwrap();
+fn persisted_entries_are_read_back_and_those_of_a_deposed_leader_are_gone() {
+    let folder = new_store();
+    let (store, stored) = Store::open(folder.path()).unwrap();
+    assert_eq!((stored.identity.member, stored.snapshot.get_metadata().index), (1, 1));
+    assert_eq!(stored.snapshot.get_metadata().get_conf_state().voters, [1, 2, 3]);
+    let hard_state = HardState { term: 4, vote: 2, commit: 1, ..HardState::default() };
+    let entries_written = [entry(2, 4), entry(3, 4), entry(4, 4)];
+    store
+        .persist(&StoreUpdate {
+            hard_state: Some(&hard_state),
+            entries: &entries_written,
+            ..StoreUpdate::default()
+        })
+        .unwrap();
+    store.persist(&StoreUpdate { entries: &[entry(3, 5)], ..StoreUpdate::default() }).unwrap();
     drop(store);
-    let (_store, found) = Store::open(folder.path()).unwrap();
-    assert_eq!((found.vote.term, found.vote.vote), (4, 2));
-    assert_eq!(found.entries, [line(2, 4), line(3, 5)]);
+    let (_store, stored) = Store::open(folder.path()).unwrap();
+    assert_eq!((stored.hard_state.term, stored.hard_state.vote), (4, 2));
+    assert_eq!(stored.entries, [entry(2, 4), entry(3, 5)]);
 }
 
 #[test]
-fn a_snapshot_takes_the_place_of_what_it_stands_for() {
-    let folder = made();
-    let (store, found) = Store::open(folder.path()).unwrap();
-    let lines: Vec<Entry> = (2..=9).map(|i| line(i, 2)).collect();
-    store.keep(&Kept { entries: &lines, ..Kept::default() }).unwrap();
-    let mut snapshot = found.snapshot.clone();
+fn a_snapshot_replaces_the_entries_that_it_covers() {
+    let folder = new_store();
+    let (store, stored) = Store::open(folder.path()).unwrap();
+    let entries_written: Vec<Entry> = (2..=9).map(|i| entry(i, 2)).collect();
+    store.persist(&StoreUpdate { entries: &entries_written, ..StoreUpdate::default() }).unwrap();
+    let mut snapshot = stored.snapshot.clone();
     snapshot.mut_metadata().index = 7;
     snapshot.mut_metadata().term = 2;
-    store.keep(&Kept { snapshot: Some(&snapshot), keep_from: 5, ..Kept::default() }).unwrap();
+    store
+        .persist(&StoreUpdate { snapshot: Some(&snapshot), first_kept_index: 5, ..StoreUpdate::default() })
+        .unwrap();
     drop(store);
-    let (store, found) = Store::open(folder.path()).unwrap();
-    assert_eq!(found.entries, [line(8, 2), line(9, 2)]);
-    // A leader's snapshot stands for the whole log, also for lines behind it.
+    let (store, stored) = Store::open(folder.path()).unwrap();
+    assert_eq!(stored.entries, [entry(8, 2), entry(9, 2)]);
+    // A leader's snapshot replaces the whole log, including entries after it.
     snapshot.mut_metadata().index = 8;
-    store.keep(&Kept { snapshot: Some(&snapshot), replaces: true, ..Kept::default() }).unwrap();
+    store
+        .persist(&StoreUpdate { snapshot: Some(&snapshot), replaces_log: true, ..StoreUpdate::default() })
+        .unwrap();
     drop(store);
     assert!(Store::open(folder.path()).unwrap().1.entries.is_empty());
 }
 
 #[test]
-fn a_store_that_is_missing_taken_foreign_cut_or_another_programs_is_a_clear_error() {
+fn a_missing_existing_locked_truncated_or_foreign_store_is_a_clear_error() {
     let empty = tempfile::tempdir().unwrap();
-    assert!(refusal(empty.path()).contains("must not come back under its number"));
-    let folder = made();
-    let again = Store::init(folder.path(), "manila", 1, &[1], b"");
-    assert!(again.unwrap_err().to_string().contains("is there already"));
-    let held = Store::open(folder.path()).unwrap();
-    assert!(refusal(folder.path()).contains("another process has it open"));
-    drop(held);
+    assert!(open_error(empty.path()).contains("must not rejoin under its old number"));
+    let folder = new_store();
+    let second_init = Store::init(folder.path(), "manila", 1, &[1], b"");
+    assert!(second_init.unwrap_err().to_string().contains("already exists"));
+    let open_store = Store::open(folder.path()).unwrap();
+    assert!(open_error(folder.path()).contains("another process has it open"));
+    drop(open_store);
     let file = folder.path().join("coordinator.redb");
-    let whole = std::fs::read(&file).unwrap();
-    for cut in [0, 1, 100, 4096, whole.len() / 2] {
-        std::fs::write(&file, &whole[..cut]).unwrap();
-        let said = std::panic::catch_unwind(|| refusal(folder.path()));
-        assert!(said.is_ok_and(|s| s.contains("coordinator.redb")), "cut at {cut}");
+    let contents = std::fs::read(&file).unwrap();
+    for length in [0, 1, 100, 4096, contents.len() / 2] {
+        std::fs::write(&file, &contents[..length]).unwrap();
+        let error = std::panic::catch_unwind(|| open_error(folder.path()));
+        assert!(error.is_ok_and(|message| message.contains("coordinator.redb")), "cut at {length}");
     }
     std::fs::write(&file, "member = 1").unwrap();
-    assert!(refusal(folder.path()).contains("can't be opened"));
+    assert!(open_error(folder.path()).contains("can't be opened"));
 }
 
 #[test]
-fn half_of_an_init_is_no_store() {
+fn an_interrupted_init_leaves_no_store() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("coordinator.redb.new"), "half").unwrap();
-    assert!(!Store::is_in(folder.path()));
+    assert!(!Store::exists_in(folder.path()));
     Store::init(folder.path(), "manila", 1, &[1], b"state").unwrap();
     assert!(Store::open(folder.path()).is_ok());
 }
--- a/crates/mothpier-sim/src/coordinators.rs
+++ b/crates/mothpier-sim/src/coordinators.rs
@@ -11,7 +11,7 @@
     Answer, Command, Fence, FenceFloors, FenceGuard, FencedAction, LeaseValidity, Refusal, ReplicatedState,
     Request,
 };
-use mothpier_coordinator::core::{Core, ELECTION, Ended};
+use mothpier_coordinator::core::{Core, ELECTION_TICKS, ProposalOutcome};
 use mothpier_coordinator::store::Store;
 use mothpier_world::Dice;
 use protobuf::Message as _;
@@ -134,7 +134,7 @@
 }
 
 enum Pending {
-    Command(Receiver<Ended>),
+    Command(Receiver<ProposalOutcome>),
     Read(Receiver<bool>),
 }
 
@@ -222,7 +222,7 @@
     let state = ReplicatedState::founded(numbers.iter().map(|n| (*n, String::new())).collect()).to_bytes();
     let machine = |i: usize| {
         let disk = Disk::new(twin == Some(Twin::LyingDisk));
-        Store::init_on(disk.clone(), "sim", i as u64 + 1, &numbers, &state).expect("a new disk");
+        Store::init_with_backend(disk.clone(), "sim", i as u64 + 1, &numbers, &state).expect("a new disk");
         Machine {
             core: None,
             disk,
@@ -443,7 +443,7 @@
             machine.disk.fill(false);
             machine.down_until = None;
             let life = seed.rotate_left(17) ^ (now << 24) ^ ((i as u64) << 16);
-            match Store::open_on(machine.disk.clone())
+            match Store::open_with_backend(machine.disk.clone())
                 .and_then(|(store, found)| Core::new(store, found, life))
             {
                 Ok(core) => machine.core = Some(core),
@@ -463,26 +463,28 @@
             machine.ticked = if made_up > 3 { local } else { machine.ticked + TICK };
             let mut drawn = DefaultHasher::new();
             (seed, i, core.term()).hash(&mut drawn);
-            core.tick_of(ELECTION + (drawn.finish() % ELECTION as u64) as usize);
+            core.tick_with_election_timeout(
+                ELECTION_TICKS + (drawn.finish() % ELECTION_TICKS as u64) as usize,
+            );
         }
-        let turned = core.turn(local);
-        if core.leads() && !machine.led {
+        let turned = core.poll(local);
+        if core.is_leader() && !machine.led {
             self.played.elections += 1;
         }
-        machine.led = core.leads();
+        machine.led = core.is_leader();
         let outgoing = core.outgoing();
         let mut answers = Vec::new();
         machine.pending.retain_mut(|(to, number, pending)| {
             let reply = match pending {
                 Pending::Command(told) => match told.try_recv() {
-                    Ok(Ended::Answered(answer)) => Some(Reply::Did(answer)),
+                    Ok(ProposalOutcome::Applied(answer)) => Some(Reply::Did(answer)),
                     Ok(_) => Some(Reply::NotLeading),
                     Err(tokio::sync::oneshot::error::TryRecvError::Empty) => None,
                     Err(_) => Some(Reply::NotLeading),
                 },
                 Pending::Read(told) => match told.try_recv() {
                     Ok(true) => {
-                        let agreed = core.agreed();
+                        let agreed = core.state();
                         let held = agreed.leases().get(LEASE).map(|l| (l.holder.clone(), l.fence));
                         let change = agreed.values().get(KEY).map_or(0, |v| v.revision);
                         Some(Reply::Read(held, agreed.floors(), change))
@@ -532,20 +534,20 @@
                 match what {
                     What::Raft(bytes) => {
                         if let Ok(message) = raft::eraftpb::Message::parse_from_bytes(&bytes) {
-                            core.message(message);
+                            core.receive(message);
                         }
                     }
                     What::Ask(number, command) => {
                         let told = core.propose(&command);
-                        if self.twin == Some(Twin::AnsweredBeforeCommit) && core.leads() {
-                            let answer = core.agreed().clone().apply(&command);
+                        if self.twin == Some(Twin::AnsweredBeforeCommit) && core.is_leader() {
+                            let answer = core.state().clone().apply(&command);
                             self.send(to, from, What::Answer(number, Reply::Did(answer)));
                         } else {
                             machine.pending.push((from, number, Pending::Command(told)));
                         }
                     }
                     What::Read(number) => {
-                        let told = core.read();
+                        let told = core.confirm_leadership();
                         machine.pending.push((from, number, Pending::Read(told)));
                     }
                     _ => {}
--- a/crates/mothpierctl/tests/lease.rs
+++ b/crates/mothpierctl/tests/lease.rs
@@ -155,7 +155,7 @@
     for (arguments, error) in [
         (["lease", "show", "roll"], "nobody holds \"roll\""),
         (["lease", "break", "roll"], "nobody holds \"roll\""),
-        (["coordinator", "remove", "1"], "it is the only one that votes"),
+        (["coordinator", "remove", "1"], "the only voter can't be removed"),
     ] {
         let output = coordinator.ctl(&arguments);
         assert!(output.status.code() == Some(2) && said(&output).contains(error), "{}", said(&output));
