--- a/crates/mothpier-config/src/app.rs
+++ b/crates/mothpier-config/src/app.rs
@@ -284,7 +284,7 @@
     /// Number of nodes in the fleet, including this one.
     pub nodes: Spanned<u64>,
     /// Index of this node, from 0.
-    pub me: Spanned<u64>,
+    pub node_index: Spanned<u64>,
     /// Listener.
     pub listen: Listen,
     /// Endpoint that serves the server list.
@@ -435,7 +435,7 @@
         tenant,
         upstream,
         nodes: nodes?,
-        me: me?,
+        node_index: me?,
         listen: listen?,
         discovery,
         operator,
--- a/crates/mothpier-config/src/changes.rs
+++ b/crates/mothpier-config/src/changes.rs
@@ -58,7 +58,7 @@
     add("tenant", app.tenant.as_ref().map(|t| t.value.clone()), "which tenant the requests are charged to");
     add("upstream", Some(keyword_of(&UPSTREAMS, &app.upstream.value)), "where requests are sent");
     add("nodes", Some(app.nodes.value.to_string()), "this node's share of all limits of the fleet");
-    add("me", Some(app.me.value.to_string()), "when it is this node's turn at the origin");
+    add("me", Some(app.node_index.value.to_string()), "when it is this node's turn at the origin");
     add(
         "listen.address",
         app.listen.address.as_ref().map(|a| a.value.canonical()),
--- a/crates/mothpier-config/src/code.rs
+++ b/crates/mothpier-config/src/code.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns what would happen in service.
-    pub fn in_service(self) -> &'static str {
+    pub fn consequence(self) -> &'static str {
         self.0.consequence
     }
 
--- a/crates/mothpier-config/src/fleet.rs
+++ b/crates/mothpier-config/src/fleet.rs
@@ -143,13 +143,13 @@
         let mut by_index: BTreeMap<u64, usize> = BTreeMap::new();
         for index in files {
             let app = set[*index].app;
-            if let Some(before) = by_index.insert(app.me.value, *index) {
-                let problem = format!("number {} is that of {}, too", app.me.value, set[before].file);
+            if let Some(before) = by_index.insert(app.node_index.value, *index) {
+                let problem = format!("number {} is that of {}, too", app.node_index.value, set[before].file);
                 findings.push((
                     *index,
                     Finding::error(
                         code::DUPLICATE_NODE_INDEX,
-                        app.me.span.clone(),
+                        app.node_index.span.clone(),
                         problem,
                         code::DUPLICATE_NODE_INDEX.fix(),
                     ),
--- a/crates/mothpier-config/src/lib.rs
+++ b/crates/mothpier-config/src/lib.rs
@@ -28,7 +28,7 @@
 pub use endpoint::Hosts;
 pub use finding::{Finding, Severity, has_errors};
 pub use read::{Form, MAX_FILE_BYTES};
-pub use rules::sizes::{CONNECTION_BYTES, MIN_SOCKETS, OWN_SOCKETS, REQUEST_BYTES};
+pub use rules::sizes::{CONNECTION_BYTES, MIN_SOCKETS, REQUEST_BYTES, RESERVED_DESCRIPTORS};
 
 /// The result of checking one file.
 #[derive(Clone, Debug)]
--- a/crates/mothpier-config/src/node.rs
+++ b/crates/mothpier-config/src/node.rs
@@ -98,7 +98,7 @@
             .upstream
             .unwrap_or_else(|| Spanned::default_at(Upstream::CacheServers, span.clone())),
         nodes: settings.nodes,
-        me: settings.me,
+        node_index: settings.me,
         listen: Listen {
             span: span.clone(),
             address: address.filter(|_| sidecar_section.unix.is_none()),
--- a/crates/mothpier-config/src/render.rs
+++ b/crates/mothpier-config/src/render.rs
@@ -53,13 +53,13 @@
     };
     let (retries, cold) = (&app.retries, &app.cold);
     let mut file = json!({
-        "name": format!("{}-{}", app.name.value, app.me.value),
-        "seed": format!("{}-{}", app.name.value, app.me.value),
+        "name": format!("{}-{}", app.name.value, app.node_index.value),
+        "seed": format!("{}-{}", app.name.value, app.node_index.value),
         "limits": {"memory_mb": app.limits.memory.value as f64 / 1048576.0, "sockets": app.limits.sockets.value},
         "known": {"revision": 0, "complete": true, "members": render_members(app, &zones, &kinds[..server_kind_count])},
         "settings": {
             "balancers": app.nodes.value,
-            "me": app.me.value,
+            "me": app.node_index.value,
             "classes": classes,
             "realms": realms,
             "discovery": "push",
--- a/crates/mothpier-config/src/rules/sizes.rs
+++ b/crates/mothpier-config/src/rules/sizes.rs
@@ -7,7 +7,7 @@
 use crate::units::format_size;
 
 /// File descriptors that a node reserves: listener, peers, discovery, runtime, files, standard streams.
-pub const OWN_SOCKETS: u64 = 20;
+pub const RESERVED_DESCRIPTORS: u64 = 20;
 /// Smallest number of sockets with which a node starts.
 pub const MIN_SOCKETS: u64 = 32;
 /// Memory in bytes that an open request counts for, beside its value: half of the largest answer.
@@ -30,13 +30,13 @@
     } else if let Some(connections) = &limits.connections {
         // Half is for clients and half for cache servers and the origin, so that neither can starve the
         // other.
-        let client_sockets = (limits.sockets.value - OWN_SOCKETS) / 2;
+        let client_sockets = (limits.sockets.value - RESERVED_DESCRIPTORS) / 2;
         if connections.value > client_sockets {
             let problem = format!(
                 "{} sockets leave {client_sockets} for clients, and {} connections are stated",
                 limits.sockets.value, connections.value
             );
-            let fix = format!("set `sockets` to {} or more", connections.value * 2 + OWN_SOCKETS);
+            let fix = format!("set `sockets` to {} or more", connections.value * 2 + RESERVED_DESCRIPTORS);
             findings.push(
                 Finding::error(code::SOCKETS_BELOW_CONNECTIONS, limits.sockets.span.clone(), problem, fix)
                     .with_related(connections.span.clone(), "the stated connections"),
--- a/crates/mothpier-membership/src/admin_drain.rs
+++ b/crates/mothpier-membership/src/admin_drain.rs
@@ -16,7 +16,7 @@
 /// callers can make a node use.
 pub const MAX_DRAINED: usize = 4_096;
 /// Maximum length of a server id, in bytes.
-pub const MOST_ID: usize = 256;
+pub const MAX_ID_BYTES: usize = 256;
 
 /// Reason why a drain or a return to service was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 
 impl AdminDrainError {
     /// Returns a description for operators.
-    pub fn name(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             AdminDrainError::Unknown => "no cache server of this id is known here",
             AdminDrainError::Origin => "that is the origin, not a cache server",
@@ -64,7 +64,7 @@
 
     /// Takes records from the sources, either a complete list (`whole`) or changes only, and returns the
     /// effective records.
-    pub fn list(&mut self, whole: bool, mut records: Vec<ServerRecord>) -> Vec<ServerRecord> {
+    pub fn update(&mut self, whole: bool, mut records: Vec<ServerRecord>) -> Vec<ServerRecord> {
         if whole {
             self.listed.clear();
         }
@@ -126,7 +126,7 @@
 
     /// Replaces the complete set of servers that fleet-wide drains cover. Returns the effective records that
     /// this changed.
-    pub fn agree(&mut self, now: u64, drained: &BTreeSet<String>) -> Vec<ServerRecord> {
+    pub fn set_fleet_drained(&mut self, now: u64, drained: &BTreeSet<String>) -> Vec<ServerRecord> {
         let mut changed: Vec<ServerRecord> = Vec::new();
         let ended: Vec<(String, u64)> =
             self.fleet_drained.extract_if(.., |id, _| !drained.contains(id)).collect();
@@ -153,7 +153,7 @@
     }
 
     /// Returns a filter for the same origin without any drains or records.
-    pub fn emptied(self) -> Self {
+    pub fn without_drains(self) -> Self {
         AdminDrains::new(self.origin)
     }
 
--- a/crates/mothpier-membership/src/admin_drain/tests.rs
+++ b/crates/mothpier-membership/src/admin_drain/tests.rs
@@ -17,7 +17,7 @@
 fn drains() -> AdminDrains {
     let mut drains = AdminDrains::new(Some("origin".into()));
     let records = ["a", "b", "o"].map(|id| record(id, Phase::Ready, 5)).to_vec();
-    assert_eq!(drains.list(true, records.clone()), records);
+    assert_eq!(drains.update(true, records.clone()), records);
     drains
 }
 
@@ -28,13 +28,13 @@
     assert_eq!((drained.phase, drained.id.as_str()), (Phase::Draining, "a"));
     assert_eq!(drains.exclude(200, "a"), Ok(None), "draining twice has no further effect");
     for (whole, phase) in [(false, Phase::Ready), (true, Phase::Ready), (false, Phase::Draining)] {
-        assert_eq!(drains.list(whole, vec![record("a", phase, 5)])[0].phase, Phase::Draining);
+        assert_eq!(drains.update(whole, vec![record("a", phase, 5)])[0].phase, Phase::Draining);
     }
     // The server goes away and comes back under its id, and is missing from a complete list.
-    assert_eq!(drains.list(false, vec![record("a", Phase::Gone, 5)])[0].phase, Phase::Gone);
-    assert_eq!(drains.list(false, vec![record("a", Phase::Ready, 300)])[0].phase, Phase::Draining);
-    assert!(drains.list(true, Vec::new()).is_empty());
-    assert_eq!(drains.list(true, vec![record("a", Phase::Ready, 300)])[0].phase, Phase::Draining);
+    assert_eq!(drains.update(false, vec![record("a", Phase::Gone, 5)])[0].phase, Phase::Gone);
+    assert_eq!(drains.update(false, vec![record("a", Phase::Ready, 300)])[0].phase, Phase::Draining);
+    assert!(drains.update(true, Vec::new()).is_empty());
+    assert_eq!(drains.update(true, vec![record("a", Phase::Ready, 300)])[0].phase, Phase::Draining);
     // One `include` ends the drain that `exclude` was called for twice.
     assert_eq!(drains.include(400, "a").unwrap().unwrap().phase, Phase::Ready);
     assert_eq!(drains.include(500, "a"), Ok(None), "including a server that is not drained changes nothing");
@@ -48,10 +48,10 @@
     assert_eq!(drains.exclude(1, "o"), Err(AdminDrainError::Origin));
     assert_eq!(drains.include(1, "o"), Err(AdminDrainError::Origin));
     drains.exclude(1, "a").unwrap();
-    drains.list(true, vec![record("b", Phase::Ready, 5)]);
+    drains.update(true, vec![record("b", Phase::Ready, 5)]);
     assert_eq!(drains.include(2, "a"), Ok(None));
     assert_eq!(drains.include(3, "a"), Err(AdminDrainError::Unknown), "neither listed nor drained any more");
-    assert_eq!(drains.list(false, vec![record("a", Phase::Ready, 5)])[0].phase, Phase::Ready);
+    assert_eq!(drains.update(false, vec![record("a", Phase::Ready, 5)])[0].phase, Phase::Ready);
 }
 
 #[test]
@@ -60,14 +60,14 @@
     drains.exclude(100, "a").unwrap();
     assert_eq!(drains.include(500, "a").unwrap().unwrap().up_since_ms, 500);
     assert_eq!(
-        drains.list(true, vec![record("a", Phase::Ready, 5)])[0].up_since_ms,
+        drains.update(true, vec![record("a", Phase::Ready, 5)])[0].up_since_ms,
         500,
         "the list does not know of the restart yet"
     );
-    assert_eq!(drains.list(false, vec![record("a", Phase::Ready, 300)])[0].up_since_ms, 300);
+    assert_eq!(drains.update(false, vec![record("a", Phase::Ready, 300)])[0].up_since_ms, 300);
     // The list reports the restart before the server is included again.
     drains.exclude(600, "a").unwrap();
-    drains.list(false, vec![record("a", Phase::Ready, 700)]);
+    drains.update(false, vec![record("a", Phase::Ready, 700)]);
     assert_eq!(drains.include(900, "a").unwrap().unwrap().up_since_ms, 700);
     // Drained again at once: the start time assumed before is discarded.
     drains.exclude(950, "a").unwrap();
@@ -78,27 +78,27 @@
 fn node_and_fleet_drains_are_independent_of_each_other() {
     let mut drains = drains();
     let drained = |ids: &[&str]| ids.iter().map(|id| (*id).to_owned()).collect::<BTreeSet<_>>();
-    let changed = drains.agree(100, &drained(&["a", "o", "later"]));
+    let changed = drains.set_fleet_drained(100, &drained(&["a", "o", "later"]));
     assert_eq!(
         changed.iter().map(|record| (record.id.as_str(), record.phase)).collect::<Vec<_>>(),
         [("a", Phase::Draining)]
     );
     assert!(
-        drains.agree(110, &drained(&["a", "o", "later"])).is_empty(),
+        drains.set_fleet_drained(110, &drained(&["a", "o", "later"])).is_empty(),
         "the same set again changes nothing"
     );
     assert_eq!(
-        drains.list(false, vec![record("o", Phase::Ready, 5)])[0].phase,
+        drains.update(false, vec![record("o", Phase::Ready, 5)])[0].phase,
         Phase::Ready,
         "the origin is never drained"
     );
-    assert_eq!(drains.list(false, vec![record("later", Phase::Ready, 5)])[0].phase, Phase::Draining);
+    assert_eq!(drains.update(false, vec![record("later", Phase::Ready, 5)])[0].phase, Phase::Draining);
     // Also drained on the node: `include` has no effect during the fleet-wide drain, nor does the end of that
     // drain while the node's own drain lasts.
     assert_eq!(drains.exclude(120, "a").unwrap().unwrap().phase, Phase::Draining);
     assert_eq!(drains.include(130, "a"), Ok(None));
     drains.exclude(140, "a").unwrap();
-    let changed = drains.agree(150, &drained(&[]));
+    let changed = drains.set_fleet_drained(150, &drained(&[]));
     assert_eq!(
         changed.iter().map(|record| (record.id.as_str(), record.up_since_ms)).collect::<Vec<_>>(),
         [("later", 150)]
--- a/crates/mothpier-membership/src/dns_servers.rs
+++ b/crates/mothpier-membership/src/dns_servers.rs
@@ -24,9 +24,9 @@
     /// The lifetime has passed and no newer answer could be obtained.
     Stale,
     /// DNS answered that there are no servers.
-    Nothing,
+    Empty,
     /// The last answer is too old to be used.
-    Silent,
+    Expired,
 }
 
 impl DnsTrust {
@@ -36,8 +36,8 @@
             DnsTrust::Unknown => "unknown",
             DnsTrust::Fresh => "fresh",
             DnsTrust::Stale => "stale",
-            DnsTrust::Nothing => "nothing",
-            DnsTrust::Silent => "silent",
+            DnsTrust::Empty => "nothing",
+            DnsTrust::Expired => "silent",
         }
     }
 }
@@ -101,8 +101,8 @@
         self.trust = trust;
         match trust {
             DnsTrust::Unknown => return,
-            DnsTrust::Silent => return self.entries.clear(),
-            DnsTrust::Fresh | DnsTrust::Stale | DnsTrust::Nothing => {}
+            DnsTrust::Expired => return self.entries.clear(),
+            DnsTrust::Fresh | DnsTrust::Stale | DnsTrust::Empty => {}
         }
         for server in named {
             let entry = self.entries.entry(server.address).or_insert(Entry {
@@ -112,7 +112,7 @@
             });
             (entry.server, entry.missing) = (*server, false);
         }
-        if !complete && trust != DnsTrust::Nothing {
+        if !complete && trust != DnsTrust::Empty {
             return;
         }
         let mut missing = 0;
--- a/crates/mothpier-membership/src/dns_servers/tests.rs
+++ b/crates/mothpier-membership/src/dns_servers/tests.rs
@@ -48,9 +48,9 @@
 fn an_empty_answer_needs_confirmation_and_expired_data_is_dropped_at_once() {
     let mut dns = DnsServers::new(ShrinkGuard::default());
     dns.update(1, DnsTrust::Fresh, &servers(0..1), true, 1);
-    dns.update(2, DnsTrust::Nothing, &[], true, 2);
+    dns.update(2, DnsTrust::Empty, &[], true, 2);
     dns.update(3, DnsTrust::Stale, &servers(0..1), true, 2);
     assert_eq!((dns.servers().count(), dns.pending_removals()), (1, 0));
-    dns.update(4, DnsTrust::Silent, &[], true, 2);
+    dns.update(4, DnsTrust::Expired, &[], true, 2);
     assert_eq!(dns.servers().count(), 0);
 }
--- a/crates/mothpier-membership/src/gossip.rs
+++ b/crates/mothpier-membership/src/gossip.rs
@@ -39,14 +39,14 @@
     /// How long an item applies after a list reported the change, in milliseconds.
     pub trust_ms: u64,
     /// Share of the servers that gossip may take out of service at a time; at least one server.
-    pub share: f64,
+    pub max_share: f64,
     /// Number of times that the originating node sends an item.
-    pub tells: u32,
+    pub sends: u32,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { trust_ms: 60_000, share: 0.25, tells: 3 }
+        Settings { trust_ms: 60_000, max_share: 0.25, sends: 3 }
     }
 }
 
@@ -127,7 +127,7 @@
             return;
         }
         let item = GossipItem { server_hash, up_since_ms, announced_ms: now, phase, hops: 0 };
-        let (sends_left, expires_at) = (self.settings.tells, now + self.settings.trust_ms);
+        let (sends_left, expires_at) = (self.settings.sends, now + self.settings.trust_ms);
         self.entries.insert(
             server_hash,
             Entry { item, received_at: None, copies: 0, sends_left, next_send_at: now, expires_at },
--- a/crates/mothpier-membership/src/gossip/tests.rs
+++ b/crates/mothpier-membership/src/gossip/tests.rs
@@ -3,7 +3,7 @@
 const NOW: u64 = 1_000_000_000;
 
 fn gossip() -> Gossip {
-    Gossip::new(Settings { trust_ms: 10_000, share: 0.25, tells: 3 }, 7)
+    Gossip::new(Settings { trust_ms: 10_000, max_share: 0.25, sends: 3 }, 7)
 }
 
 #[test]
--- a/crates/mothpier-membership/src/sources.rs
+++ b/crates/mothpier-membership/src/sources.rs
@@ -43,13 +43,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How long a removal by the list overrides the other sources, in milliseconds.
-    pub gone_ms: u64,
+    pub tombstone_ms: u64,
     /// When the loss of servers from DNS must be confirmed.
-    pub doubt: ShrinkGuard,
+    pub shrink_guard: ShrinkGuard,
     /// Gossip between nodes; `None` if it is off.
-    pub rumours: Option<gossip::Settings>,
+    pub gossip: Option<gossip::Settings>,
     /// Properties of servers that the list does not name.
-    pub like: ServerTemplate,
+    pub template: ServerTemplate,
     /// Machine kind of the origin, which is not a cache server.
     pub origin: Option<String>,
     /// Statically configured servers.
@@ -59,10 +59,10 @@
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            gone_ms: 600_000,
-            doubt: ShrinkGuard::default(),
-            rumours: None,
-            like: ServerTemplate::default(),
+            tombstone_ms: 600_000,
+            shrink_guard: ShrinkGuard::default(),
+            gossip: None,
+            template: ServerTemplate::default(),
             origin: None,
             fixed: Vec::new(),
         }
@@ -123,7 +123,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
     /// New and changed records; those of servers that left the view have [`Phase::Gone`].
-    pub lines: Vec<ServerRecord>,
+    pub records: Vec<ServerRecord>,
     /// Servers whose id changed, as (old id, new id). Address and process are the same.
     pub renamed: Vec<(String, String)>,
 }
@@ -151,8 +151,8 @@
             list: BTreeMap::new(),
             list_unreachable: false,
             tombstones: BTreeMap::new(),
-            dns: DnsServers::new(settings.doubt),
-            gossip: settings.rumours.map(|settings| Gossip::new(settings, seed)),
+            dns: DnsServers::new(settings.shrink_guard),
+            gossip: settings.gossip.map(|settings| Gossip::new(settings, seed)),
             fixed_since: now,
             last_view: BTreeMap::new(),
             reports: Vec::new(),
@@ -162,7 +162,7 @@
 
     /// Takes a list, either complete (`whole`) or changes only. Must be called in the order of the list's
     /// revisions.
-    pub fn list(&mut self, now: u64, whole: bool, records: Vec<ServerRecord>) {
+    pub fn update_list(&mut self, now: u64, whole: bool, records: Vec<ServerRecord>) {
         self.list_unreachable = false;
         if whole {
             let named: BTreeSet<&str> = records.iter().map(|record| record.id.as_str()).collect();
@@ -196,10 +196,11 @@
                 |address: &SocketAddr| self.list.values().any(|other| other.address() == Some(*address));
             let freed: Vec<SocketAddr> =
                 old_address.or(new_address).into_iter().filter(|address| !in_use(address)).collect();
-            self.tombstones.extend(freed.into_iter().map(|address| (address, now + self.settings.gone_ms)));
+            self.tombstones
+                .extend(freed.into_iter().map(|address| (address, now + self.settings.tombstone_ms)));
         } else {
             if let Some(old_address) = old_address.filter(|address| Some(*address) != new_address) {
-                self.tombstones.insert(old_address, now + self.settings.gone_ms);
+                self.tombstones.insert(old_address, now + self.settings.tombstone_ms);
             }
             new_address.and_then(|address| self.tombstones.remove(&address));
         }
@@ -224,19 +225,26 @@
     }
 
     /// Records that the list cannot be reached. Its last report remains in force.
-    pub fn list_out(&mut self) {
+    pub fn mark_list_unreachable(&mut self) {
         self.list_unreachable = true;
     }
 
     /// Takes the current data from DNS: see [`DnsServers::update`].
-    pub fn names(&mut self, now: u64, trust: DnsTrust, named: &[DnsServer], complete: bool, answers: u64) {
+    pub fn update_dns(
+        &mut self,
+        now: u64,
+        trust: DnsTrust,
+        named: &[DnsServer],
+        complete: bool,
+        answers: u64,
+    ) {
         let named: Vec<DnsServer> =
             named.iter().map(|server| DnsServer { address: canonical(server.address), ..*server }).collect();
         self.dns.update(now, trust, &named, complete, answers);
     }
 
     /// Processes a message from another node. Returns whether it is a gossip message.
-    pub fn heard(&mut self, now: u64, bytes: &[u8]) -> bool {
+    pub fn receive(&mut self, now: u64, bytes: &[u8]) -> bool {
         if let Some(gossip) = &mut self.gossip {
             gossip.receive(now, bytes);
         }
@@ -244,12 +252,12 @@
     }
 
     /// Returns the message to send to all other nodes now, if any.
-    pub fn tell(&mut self, now: u64) -> Option<Vec<u8>> {
+    pub fn next_message(&mut self, now: u64) -> Option<Vec<u8>> {
         self.gossip.as_mut()?.next_message(now)
     }
 
     /// Returns when [`Sources::tell`] or [`Sources::changes`] must be called next, if at all.
-    pub fn due(&self, now: u64) -> Option<u64> {
+    pub fn next_due(&self, now: u64) -> Option<u64> {
         let gossip = self.gossip.as_ref();
         let tombstone_expiry = self.tombstones.values().copied().filter(|expires_at| *expires_at > now).min();
         let times = [
@@ -271,7 +279,7 @@
         let mut changes = Changes::default();
         for (id, record) in &self.last_view {
             if !view.contains_key(id) {
-                changes.lines.push(ServerRecord { phase: Phase::Gone, ..record.clone() });
+                changes.records.push(ServerRecord { phase: Phase::Gone, ..record.clone() });
                 let address = record.address();
                 let new = view.values().find(|candidate| address.is_some() && candidate.address() == address);
                 if let Some(new) = new.filter(|new| {
@@ -282,7 +290,7 @@
             }
         }
         changes
-            .lines
+            .records
             .extend(view.values().filter(|record| self.last_view.get(&record.id) != Some(record)).cloned());
         self.last_view = view;
         changes
@@ -380,7 +388,7 @@
     /// Returns the listed servers that gossip drains: the most recently reported ones, whose reports are the
     /// likeliest to be still true; at most the configured share, and never all.
     fn drained_by_gossip(&self, now: u64) -> BTreeSet<String> {
-        let (Some(gossip), Some(settings)) = (&self.gossip, &self.settings.rumours) else {
+        let (Some(gossip), Some(settings)) = (&self.gossip, &self.settings.gossip) else {
             return BTreeSet::new();
         };
         let ready: Vec<&ServerRecord> = self
@@ -389,7 +397,7 @@
             .filter(|record| record.phase == Phase::Ready && !self.is_origin(record))
             .collect();
         let limit =
-            ((ready.len() as f64 * settings.share) as usize).max(1).min(ready.len().saturating_sub(1));
+            ((ready.len() as f64 * settings.max_share) as usize).max(1).min(ready.len().saturating_sub(1));
         let reported = |record: &&ServerRecord| {
             Some((Reverse(gossip.reported_at(now, record.hash(), record.up_since_ms)?), record.id.clone()))
         };
@@ -422,7 +430,7 @@
     /// Builds the record of a server that the list does not name. Its id derives from its address, so that it
     /// is the same on every node.
     fn synthetic_record(&self, server: &DnsServer, first_named_at: u64, mean: f32) -> ServerRecord {
-        let ServerTemplate { locality, flavor, cell } = self.settings.like.clone();
+        let ServerTemplate { locality, flavor, cell } = self.settings.template.clone();
         let weight = if server.weight == 0 && mean <= 1.0 { 1.0 } else { f32::from(server.weight) / mean };
         ServerRecord {
             id: format!("{SYNTHETIC_ID_PREFIX}{}", server.address),
--- a/crates/mothpier-membership/tests/sources.rs
+++ b/crates/mothpier-membership/tests/sources.rs
@@ -33,9 +33,9 @@
 
 fn settings() -> Settings {
     Settings {
-        gone_ms: 60_000,
-        rumours: Some(gossip::Settings { trust_ms: 20_000, share: 0.5, tells: 2 }),
-        like: ServerTemplate { locality: "b".into(), flavor: "m".into(), cell: 3 },
+        tombstone_ms: 60_000,
+        gossip: Some(gossip::Settings { trust_ms: 20_000, max_share: 0.5, sends: 2 }),
+        template: ServerTemplate { locality: "b".into(), flavor: "m".into(), cell: 3 },
         origin: Some("origin".into()),
         ..Settings::default()
     }
@@ -56,19 +56,23 @@
 }
 
 fn update_dns(sources: &mut Sources, now: u64, servers: &[DnsServer], answers: u64) {
-    let trust = if servers.is_empty() { DnsTrust::Nothing } else { DnsTrust::Fresh };
-    sources.names(now, trust, servers, true, answers);
+    let trust = if servers.is_empty() { DnsTrust::Empty } else { DnsTrust::Fresh };
+    sources.update_dns(now, trust, servers, true, answers);
 }
 
 #[test]
 fn dns_does_not_bring_back_what_the_list_drained_or_removed() {
-    let mut sources = Sources::new(Settings { rumours: None, ..settings() }, 1, NOW);
-    sources.list(NOW, true, vec![record(1, Phase::Ready), record(2, Phase::Ready), record(3, Phase::Ready)]);
+    let mut sources = Sources::new(Settings { gossip: None, ..settings() }, 1, NOW);
+    sources.update_list(
+        NOW,
+        true,
+        vec![record(1, Phase::Ready), record(2, Phase::Ready), record(3, Phase::Ready)],
+    );
     for n in 0..50 {
         update_dns(&mut sources, NOW + n, &[dns_server(1, 0), dns_server(2, 0), dns_server(3, 0)], n);
         assert_eq!(ready(&mut sources, NOW + n), ["s-1", "s-2", "s-3"]);
     }
-    sources.list(NOW + 100, false, vec![record(1, Phase::Draining), record(2, Phase::Gone)]);
+    sources.update_list(NOW + 100, false, vec![record(1, Phase::Draining), record(2, Phase::Gone)]);
     for n in 0..50 {
         update_dns(
             &mut sources,
@@ -89,18 +93,18 @@
         sources.text()
     );
     // A server is back when the list says so, or when its removal by the list no longer counts.
-    assert_eq!(sources.due(NOW + 200), Some(NOW + 100 + 60_000));
+    assert_eq!(sources.next_due(NOW + 200), Some(NOW + 100 + 60_000));
     assert_eq!(ready(&mut sources, NOW + 100 + 60_000), ["at-10.1.0.2:6379", "s-3"]);
-    sources.list(NOW + 70_000, false, vec![record(1, Phase::Ready)]);
+    sources.update_list(NOW + 70_000, false, vec![record(1, Phase::Ready)]);
     assert!(ready(&mut sources, NOW + 70_000).contains(&"s-1".to_owned()));
 }
 
 #[test]
 fn addresses_of_removed_and_moved_servers_stay_excluded() {
     let mut sources = sources();
-    sources.list(NOW, true, vec![record(1, Phase::Ready), record(2, Phase::Ready)]);
-    sources.list(NOW + 1, true, vec![record(2, Phase::Ready)]);
-    sources.list(
+    sources.update_list(NOW, true, vec![record(1, Phase::Ready), record(2, Phase::Ready)]);
+    sources.update_list(NOW + 1, true, vec![record(2, Phase::Ready)]);
+    sources.update_list(
         NOW + 2,
         false,
         vec![ServerRecord { host_port: address(9).to_string(), ..record(2, Phase::Ready) }],
@@ -109,25 +113,25 @@
     assert_eq!(ready(&mut sources, NOW + 3), ["s-2"]);
     // A new server at the address of one removed in the same list is kept, in whatever order they are listed.
     let other = ServerRecord { id: "s-0".into(), ..record(9, Phase::Ready) };
-    sources.list(NOW + 4, false, vec![other, record(2, Phase::Gone)]);
+    sources.update_list(NOW + 4, false, vec![other, record(2, Phase::Gone)]);
     assert_eq!(ready(&mut sources, NOW + 4), ["s-0"]);
 }
 
 #[test]
 fn a_server_named_only_by_dns_is_cold_and_is_renamed_when_the_list_names_it() {
     let mut sources = sources();
-    sources.list(NOW, true, vec![record(1, Phase::Ready)]);
+    sources.update_list(NOW, true, vec![record(1, Phase::Ready)]);
     let mapped: SocketAddr = "[::ffff:10.1.0.7]:6379".parse().unwrap();
     let same_server = DnsServer { address: mapped, ..dns_server(7, 0) };
     update_dns(&mut sources, NOW + 10, &[dns_server(1, 0), same_server, dns_server(7, 0)], 1);
     let changes = sources.changes(NOW + 10);
-    let new = changes.lines.iter().find(|record| record.id == "at-10.1.0.7:6379").unwrap();
+    let new = changes.records.iter().find(|record| record.id == "at-10.1.0.7:6379").unwrap();
     assert_eq!((new.up_since_ms, new.phase, new.cell), (NOW + 10, Phase::Ready, 3));
     // Its start time stays the same in later answers. When the list names it, it is the same server under a
     // new id, with the start time from the list.
     update_dns(&mut sources, NOW + 20, &[dns_server(1, 0), dns_server(7, 0)], 2);
     assert_eq!(sources.changes(NOW + 20), mothpier_membership::Changes::default());
-    sources.list(NOW + 30, false, vec![record(7, Phase::Ready)]);
+    sources.update_list(NOW + 30, false, vec![record(7, Phase::Ready)]);
     let changes = sources.changes(NOW + 30);
     assert_eq!(changes.renamed, [("at-10.1.0.7:6379".to_owned(), "s-7".to_owned())]);
     assert_eq!(ready(&mut sources, NOW + 30), ["s-1", "s-7"]);
@@ -136,7 +140,7 @@
 #[test]
 fn the_lowest_dns_priority_with_a_usable_server_is_used() {
     let mut sources = sources();
-    sources.list(NOW, true, vec![record(1, Phase::Ready)]);
+    sources.update_list(NOW, true, vec![record(1, Phase::Ready)]);
     update_dns(&mut sources, NOW, &[dns_server(1, 1), dns_server(2, 1), dns_server(3, 2)], 1);
     assert_eq!(ready(&mut sources, NOW), ["at-10.1.0.2:6379", "s-1"]);
     assert!(
@@ -145,7 +149,7 @@
             .iter()
             .any(|report| report.address == address(3).to_string() && report.reason == StateReason::Standby)
     );
-    sources.list(NOW, false, vec![record(1, Phase::Gone)]);
+    sources.update_list(NOW, false, vec![record(1, Phase::Gone)]);
     update_dns(&mut sources, NOW + 1, &[dns_server(1, 1), dns_server(3, 2)], 2);
     assert_eq!(ready(&mut sources, NOW + 1), ["at-10.1.0.3:6379"]);
     // A weight becomes a size relative to the mean weight of the same priority, within bounds.
@@ -169,7 +173,7 @@
 #[test]
 fn the_view_stays_filled_when_dns_fails_and_the_list_is_unreachable() {
     let mut sources = Sources::new(
-        Settings { doubt: ShrinkGuard { share: 0.3, confirm: 1, hold_ms: 10 }, ..settings() },
+        Settings { shrink_guard: ShrinkGuard { share: 0.3, confirm: 1, hold_ms: 10 }, ..settings() },
         1,
         NOW,
     );
@@ -181,15 +185,19 @@
         assert_eq!(ready(&mut sources, NOW + n * 10), both, "{n}");
     }
     assert!(sources.reports().iter().all(|report| report.reason == StateReason::LastResort));
-    sources.names(NOW + 2_000, DnsTrust::Silent, &[], true, 200);
+    sources.update_dns(NOW + 2_000, DnsTrust::Expired, &[], true, 200);
     assert_eq!(ready(&mut sources, NOW + 2_000), both);
     // Without list and DNS the last view is kept, but the list may still remove what is left.
-    sources.list_out();
+    sources.mark_list_unreachable();
     assert_eq!(ready(&mut sources, NOW + 3_000), both);
-    sources.list(NOW + 4_000, false, vec![ServerRecord { phase: Phase::Gone, ..record(1, Phase::Ready) }]);
+    sources.update_list(
+        NOW + 4_000,
+        false,
+        vec![ServerRecord { phase: Phase::Gone, ..record(1, Phase::Ready) }],
+    );
     assert_eq!(ready(&mut sources, NOW + 4_000), both[1..]);
     // Servers kept as a last resort go as soon as others are listed.
-    sources.list(NOW + 5_000, true, vec![record(5, Phase::Ready)]);
+    sources.update_list(NOW + 5_000, true, vec![record(5, Phase::Ready)]);
     assert_eq!(ready(&mut sources, NOW + 5_000), ["s-5"]);
 }
 
@@ -197,51 +205,51 @@
 fn gossip_applies_a_drain_unknown_to_the_own_list_within_its_share_and_lifetime() {
     let (mut a, mut b) = (sources(), sources());
     let all: Vec<ServerRecord> = (1..=4).map(|n| record(n, Phase::Ready)).collect();
-    a.list(NOW, true, all.clone());
-    b.list(NOW, true, all);
-    b.list_out();
-    a.list(
+    a.update_list(NOW, true, all.clone());
+    b.update_list(NOW, true, all);
+    b.mark_list_unreachable();
+    a.update_list(
         NOW + 10,
         false,
         vec![record(1, Phase::Draining), record(2, Phase::Gone), record(3, Phase::Draining)],
     );
-    assert!(b.heard(NOW + 12, &a.tell(NOW + 11).unwrap()));
+    assert!(b.receive(NOW + 12, &a.next_message(NOW + 11).unwrap()));
     // Gossip may drain half of the four: the most recently reported ones, then in order of id.
     assert_eq!(ready(&mut b, NOW + 12), ["s-3", "s-4"]);
     assert_eq!(b.reports().iter().filter(|report| report.reason == StateReason::PeerReport).count(), 2);
     assert_eq!(ready(&mut b, NOW + 10 + 20_000), ["s-1", "s-2", "s-3", "s-4"]);
     // An item ends when the own list reports a later process, or reports the same one ready after a drain.
     let mut c = sources();
-    c.list(NOW, true, (1..=4).map(|n| record(n, Phase::Ready)).collect());
-    c.heard(NOW + 12, &a.tell(NOW + 200).unwrap());
+    c.update_list(NOW, true, (1..=4).map(|n| record(n, Phase::Ready)).collect());
+    c.receive(NOW + 12, &a.next_message(NOW + 200).unwrap());
     assert_eq!(ready(&mut c, NOW + 12), ["s-3", "s-4"]);
-    c.list(NOW + 13, false, vec![ServerRecord { up_since_ms: NOW + 5, ..record(1, Phase::Ready) }]);
-    c.list(NOW + 14, false, vec![record(2, Phase::Draining)]);
-    c.list(NOW + 15, false, vec![record(2, Phase::Ready)]);
+    c.update_list(NOW + 13, false, vec![ServerRecord { up_since_ms: NOW + 5, ..record(1, Phase::Ready) }]);
+    c.update_list(NOW + 14, false, vec![record(2, Phase::Draining)]);
+    c.update_list(NOW + 15, false, vec![record(2, Phase::Ready)]);
     assert_eq!(ready(&mut c, NOW + 16), ["s-1", "s-2", "s-4"]);
 }
 
 #[test]
 fn gossip_does_not_drain_the_only_server() {
     let (mut a, mut b) = (sources(), sources());
-    a.list(NOW, true, vec![record(1, Phase::Ready), record(2, Phase::Ready)]);
-    b.list(NOW, true, vec![record(1, Phase::Ready)]);
-    a.list(NOW, false, vec![record(1, Phase::Gone)]);
-    b.heard(NOW, &a.tell(NOW).unwrap());
+    a.update_list(NOW, true, vec![record(1, Phase::Ready), record(2, Phase::Ready)]);
+    b.update_list(NOW, true, vec![record(1, Phase::Ready)]);
+    a.update_list(NOW, false, vec![record(1, Phase::Gone)]);
+    b.receive(NOW, &a.next_message(NOW).unwrap());
     assert_eq!(ready(&mut b, NOW), ["s-1"]);
 }
 
 #[test]
 fn servers_that_swap_addresses_are_both_kept_and_a_fixed_server_is_cold() {
     let mut sources = Sources::new(Settings { fixed: vec![address(8)], ..settings() }, 1, NOW);
-    sources.list(NOW, true, vec![record(1, Phase::Ready), record(2, Phase::Ready)]);
+    sources.update_list(NOW, true, vec![record(1, Phase::Ready), record(2, Phase::Ready)]);
     assert_eq!(ready(&mut sources, NOW), ["at-10.1.0.8:6379", "s-1", "s-2"]);
     assert!(sources.last_view().any(|record| record.id.starts_with("at-") && record.up_since_ms == NOW));
     let swap = |n, to| ServerRecord { host_port: address(to).to_string(), ..record(n, Phase::Ready) };
-    sources.list(NOW + 1, false, vec![swap(1, 2), swap(2, 1)]);
+    sources.update_list(NOW + 1, false, vec![swap(1, 2), swap(2, 1)]);
     update_dns(&mut sources, NOW + 1, &[dns_server(1, 0), dns_server(2, 0)], 1);
     assert_eq!(ready(&mut sources, NOW + 1), ["at-10.1.0.8:6379", "s-1", "s-2"]);
-    sources.list(
+    sources.update_list(
         NOW + 2,
         false,
         vec![ServerRecord { id: "o".into(), flavor: "origin".into(), ..record(8, Phase::Ready) }],
@@ -298,21 +306,21 @@
                 up_since_ms: *up_since_ms,
                 ..record(*n, phase(*p))
             });
-            sources.list(*now, *whole, records.collect());
+            sources.update_list(*now, *whole, records.collect());
         }
-        Report::ListUnreachable => sources.list_out(),
+        Report::ListUnreachable => sources.mark_list_unreachable(),
         Report::Dns { trust, servers, complete } => {
             *answers += 1;
             let all_trusts =
-                [DnsTrust::Unknown, DnsTrust::Fresh, DnsTrust::Stale, DnsTrust::Nothing, DnsTrust::Silent];
+                [DnsTrust::Unknown, DnsTrust::Fresh, DnsTrust::Stale, DnsTrust::Empty, DnsTrust::Expired];
             let trust = all_trusts[usize::from(*trust)];
             let named_any = matches!(trust, DnsTrust::Fresh | DnsTrust::Stale);
             let servers: Vec<DnsServer> =
                 servers.iter().filter(|_| named_any).map(|(n, p)| dns_server(*n, u16::from(*p))).collect();
-            sources.names(*now, trust, &servers, *complete, *answers);
+            sources.update_dns(*now, trust, &servers, *complete, *answers);
         }
         Report::Gossip(bytes) => {
-            sources.heard(*now, bytes);
+            sources.receive(*now, bytes);
         }
         Report::Later(ms) => *now += ms,
     }
@@ -335,7 +343,7 @@
             apply(&mut polled_twice, &mut second_now, &mut second_answers, report);
             polled_twice.changes(second_now);
             polled_twice.changes(second_now);
-            for record in polled_once.changes(now).lines {
+            for record in polled_once.changes(now).records {
                 match record.phase {
                     Phase::Gone => drop(rebuilt.remove(&record.id)),
                     _ => drop(rebuilt.insert(record.id.clone(), record)),
--- a/crates/mothpier-names/src/question.rs
+++ b/crates/mothpier-names/src/question.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Match {
     /// Not an answer to this question, or a forged one: the caller keeps waiting.
-    Not,
+    NoMatch,
     /// The id matches but the message can't be parsed.
     Broken,
     /// The answer.
@@ -74,10 +74,10 @@
     /// Checks whether bytes received from the queried server are the answer: the id, the direction and the
     /// question must match (RFC 5452, section 9.1).
     pub fn matches(&self, bytes: &[u8]) -> Match {
-        let (Some(id), Some(flags)) = (bytes.get(..2), bytes.get(2)) else { return Match::Not };
+        let (Some(id), Some(flags)) = (bytes.get(..2), bytes.get(2)) else { return Match::NoMatch };
         let is_answer = flags & 0x80 != 0;
         if id != self.id.to_be_bytes() || !is_answer {
-            return Match::Not;
+            return Match::NoMatch;
         }
         let Ok(message) = Message::from_vec(bytes) else { return Match::Broken };
         let is_same_question = |query: &Query| {
@@ -94,7 +94,7 @@
         if message.metadata.op_code == OpCode::Query && question_matches {
             Match::Answer(Box::new(message))
         } else {
-            Match::Not
+            Match::NoMatch
         }
     }
 }
--- a/crates/mothpier-names/src/resolver.rs
+++ b/crates/mothpier-names/src/resolver.rs
@@ -55,7 +55,7 @@
     /// Bounds of the lifetimes of answers.
     pub lifetimes: Lifetimes,
     /// Timeout of a query, in milliseconds.
-    pub wait: u64,
+    pub timeout_ms: u64,
     /// Whether IPv6 addresses are queried as well.
     pub ipv6: bool,
     /// Networks in which servers may be; all if empty.
@@ -109,7 +109,7 @@
     /// The encoded message.
     pub bytes: Vec<u8>,
     /// The timeout, in milliseconds.
-    pub wait: u64,
+    pub timeout_ms: u64,
 }
 
 /// Why a query had no answer.
@@ -134,9 +134,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceView {
     /// How far the data may be trusted.
-    pub word: DnsTrust,
+    pub trust: DnsTrust,
     /// The servers, each once, in ascending order of their addresses.
-    pub named: Vec<DnsServer>,
+    pub servers: Vec<DnsServer>,
     /// Number of hosts whose addresses are not known yet: while it is not 0, `named` is incomplete.
     pub pending: usize,
     /// Number of answers for the service itself so far: a higher number means that DNS was consulted again.
@@ -147,7 +147,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Queries sent.
-    pub asked: u64,
+    pub sent: u64,
     /// Queries sent over TCP, which are included in `asked`.
     pub tcp: u64,
     /// Usable answers.
@@ -284,7 +284,7 @@
     }
 
     /// Returns the queries to send now.
-    pub fn asks(&mut self, now: u64) -> Vec<Query> {
+    pub fn due_queries(&mut self, now: u64) -> Vec<Query> {
         let lost: Vec<u64> = self
             .entries
             .values()
@@ -292,7 +292,7 @@
                 e.outstanding.as_ref().filter(|query| query.lost_at <= now).map(|query| query.ticket)
             })
             .collect();
-        lost.into_iter().for_each(|ticket| self.failed(now, ticket, Failure::TimedOut));
+        lost.into_iter().for_each(|ticket| self.handle_failure(now, ticket, Failure::TimedOut));
         // The service comes before its hosts; among the hosts, those without usable data come first, then
         // those that are due the longest.
         let mut due: Vec<(bool, bool, u64, QueryKey)> = self
@@ -339,7 +339,7 @@
             return None;
         };
         self.last_ticket += 1;
-        let (ticket, wait) = (self.last_ticket, self.settings.wait);
+        let (ticket, wait) = (self.last_ticket, self.settings.timeout_ms);
         entry.outstanding = Some(OutstandingQuery {
             ticket,
             server,
@@ -349,18 +349,18 @@
             lost_at: now + wait + LOST_QUERY_GRACE_MS,
         });
         self.tickets.insert(ticket, key);
-        self.counts.asked += 1;
+        self.counts.sent += 1;
         self.counts.tcp += u64::from(transport == Transport::Tcp);
-        Some(Query { ticket, server: server_address, transport, question, bytes, wait })
+        Some(Query { ticket, server: server_address, transport, question, bytes, timeout_ms: wait })
     }
 
     /// Processes a complete answer. The caller should ignore messages that do not match the question; one
     /// that is passed in nevertheless counts as a failure.
-    pub fn heard(&mut self, now: u64, ticket: u64, bytes: &[u8]) {
+    pub fn handle_answer(&mut self, now: u64, ticket: u64, bytes: &[u8]) {
         let Some((key, outstanding)) = self.end_query(ticket) else { return };
         let result = match outstanding.question.matches(bytes) {
             Match::Answer(message) => answer::interpret(&outstanding.question, &message),
-            Match::Not | Match::Broken => Err(AnswerError::Malformed),
+            Match::NoMatch | Match::Broken => Err(AnswerError::Malformed),
         };
         match result {
             Ok(Reply::Truncated) if outstanding.transport == Transport::Udp => {
@@ -387,7 +387,7 @@
     }
 
     /// Records that a query had no answer.
-    pub fn failed(&mut self, now: u64, ticket: u64, failure: Failure) {
+    pub fn handle_failure(&mut self, now: u64, ticket: u64, failure: Failure) {
         if let Some((key, outstanding)) = self.end_query(ticket) {
             // Only a missing answer over UDP counts against the server: one whose answer is unusable, or that
             // does not support TCP, may still serve other names.
@@ -526,8 +526,8 @@
         let service = &self.entries[&self.service_key()];
         let word = match &service.cached {
             None => DnsTrust::Unknown,
-            Some(cached) if now >= cached.stale_until => DnsTrust::Silent,
-            Some(CacheEntry { data: Data::Negative, .. }) => DnsTrust::Nothing,
+            Some(cached) if now >= cached.stale_until => DnsTrust::Expired,
+            Some(CacheEntry { data: Data::Negative, .. }) => DnsTrust::Empty,
             Some(cached) if now >= cached.fresh_until => DnsTrust::Stale,
             Some(_) => DnsTrust::Fresh,
         };
@@ -568,7 +568,7 @@
             pending += usize::from(unresolved && !any_resolved);
         }
         self.counts.outside = outside;
-        ServiceView { word, named: servers.into_values().collect(), pending, answers: self.answers }
+        ServiceView { trust: word, servers: servers.into_values().collect(), pending, answers: self.answers }
     }
 
     /// Returns the latest time at which [`Resolver::asks`] must be called again.
@@ -597,7 +597,7 @@
     }
 
     /// Returns a description of the last failure since the previous call, and clears it.
-    pub fn trouble(&mut self) -> Option<String> {
+    pub fn take_last_error(&mut self) -> Option<String> {
         self.trouble.take()
     }
 
--- a/crates/mothpier-names/tests/resolver.rs
+++ b/crates/mothpier-names/tests/resolver.rs
@@ -24,7 +24,7 @@
         tier_per_s: 1_000.0,
         burst: 1_000.0,
         lifetimes: Lifetimes { floor: 2_000, ceiling: 60_000, negative_ceiling: 10_000, stale: 100_000 },
-        wait: 1_000,
+        timeout_ms: 1_000,
         ipv6: false,
         networks: vec!["10.0.0.0/8".parse().unwrap()],
     }
@@ -67,13 +67,13 @@
 }
 
 fn only_query(resolver: &mut Resolver, now: u64) -> Query {
-    let mut queries = resolver.asks(now);
+    let mut queries = resolver.due_queries(now);
     assert_eq!(queries.len(), 1, "{queries:?}");
     queries.remove(0)
 }
 
 fn addresses(resolver: &mut Resolver, now: u64) -> Vec<String> {
-    resolver.view(now).named.iter().map(|n| n.address.to_string()).collect()
+    resolver.view(now).servers.iter().map(|n| n.address.to_string()).collect()
 }
 
 const BOTH: [&str; 2] = ["10.1.0.1:6379", "10.1.0.2:6379"];
@@ -81,26 +81,26 @@
 #[test]
 fn a_service_with_additional_addresses_takes_one_query_and_is_refreshed_early() {
     let mut resolver = new_resolver();
-    assert_eq!(resolver.view(NOW).word, DnsTrust::Unknown);
+    assert_eq!(resolver.view(NOW).trust, DnsTrust::Unknown);
     let query = only_query(&mut resolver, NOW);
     assert_eq!((query.transport, query.question.kind), (Transport::Udp, Kind::Srv));
-    assert!(resolver.asks(NOW).is_empty(), "a second query while one is outstanding");
-    resolver.heard(NOW + 5, query.ticket, &reply(&query, add_both_servers));
+    assert!(resolver.due_queries(NOW).is_empty(), "a second query while one is outstanding");
+    resolver.handle_answer(NOW + 5, query.ticket, &reply(&query, add_both_servers));
     let view = resolver.view(NOW + 5);
-    assert_eq!((view.word, view.pending, view.answers), (DnsTrust::Fresh, 0, 1));
+    assert_eq!((view.trust, view.pending, view.answers), (DnsTrust::Fresh, 0, 1));
     assert_eq!(addresses(&mut resolver, NOW + 5), BOTH);
     // The lowest TTL of the set applies: 20 s. The refresh is due after 70 to 90 % of it.
     let due = resolver.due(NOW + 5);
     assert!((NOW + 5 + 14_000..=NOW + 5 + 18_000).contains(&due), "{}", due - NOW);
-    assert!(resolver.asks(due - 1).is_empty());
-    assert!(resolver.asks(due).iter().any(|query| query.question.kind == Kind::Srv));
+    assert!(resolver.due_queries(due - 1).is_empty());
+    assert!(resolver.due_queries(due).iter().any(|query| query.question.kind == Kind::Srv));
 }
 
 #[test]
 fn hosts_without_addresses_are_queried_and_pending_until_answered() {
     let mut resolver = new_resolver();
     let query = only_query(&mut resolver, NOW);
-    resolver.heard(
+    resolver.handle_answer(
         NOW,
         query.ticket,
         &reply(&query, |m| {
@@ -113,7 +113,7 @@
     assert_eq!((resolver.view(NOW).pending, addresses(&mut resolver, NOW)), (1, vec![BOTH[0].to_owned()]));
     let query = only_query(&mut resolver, NOW);
     assert_eq!((query.question.kind, query.question.name.clone()), (Kind::A, name("pb2.example.org.")));
-    resolver.heard(
+    resolver.handle_answer(
         NOW,
         query.ticket,
         &reply(&query, |m| {
@@ -130,9 +130,9 @@
     // A host that the service no longer names is removed together with its outstanding query.
     assert_eq!(resolver.len(), 3);
     let due = NOW + 60_000;
-    let queries = resolver.asks(due);
+    let queries = resolver.due_queries(due);
     let service = queries.iter().find(|query| query.question.kind == Kind::Srv).unwrap();
-    resolver.heard(
+    resolver.handle_answer(
         due,
         service.ticket,
         &reply(service, |m| {
@@ -141,7 +141,7 @@
     );
     assert_eq!((resolver.len(), addresses(&mut resolver, due)), (2, vec![BOTH[0].to_owned()]));
     let late = queries.iter().find(|query| query.question.name == name("pb2.example.org.")).unwrap();
-    resolver.heard(
+    resolver.handle_answer(
         due,
         late.ticket,
         &reply(late, |m| {
@@ -155,7 +155,7 @@
 fn truncated_answers_are_repeated_over_tcp_and_a_server_without_tcp_is_skipped() {
     let mut resolver = new_resolver();
     let query = only_query(&mut resolver, NOW);
-    resolver.heard(
+    resolver.handle_answer(
         NOW,
         query.ticket,
         &reply(&query, |m| {
@@ -163,13 +163,13 @@
             m.metadata.truncation = true;
         }),
     );
-    assert!(resolver.view(NOW).named.is_empty(), "a truncated answer must not be used");
+    assert!(resolver.view(NOW).servers.is_empty(), "a truncated answer must not be used");
     let tcp = only_query(&mut resolver, NOW);
     assert_eq!((tcp.transport, tcp.server), (Transport::Tcp, query.server));
-    resolver.failed(NOW + 1, tcp.ticket, Failure::Broken);
+    resolver.handle_failure(NOW + 1, tcp.ticket, Failure::Broken);
     let other = only_query(&mut resolver, NOW + 1);
     assert!(other.transport == Transport::Udp && other.server != query.server);
-    resolver.heard(NOW + 2, other.ticket, &reply(&other, add_both_servers));
+    resolver.handle_answer(NOW + 2, other.ticket, &reply(&other, add_both_servers));
     assert_eq!(addresses(&mut resolver, NOW + 2), BOTH);
     assert_eq!((resolver.counts().tcp, resolver.counts().failed, resolver.counts().answered), (1, 1, 1));
 }
@@ -178,23 +178,23 @@
 fn stale_data_is_used_within_its_limit_and_failing_servers_are_queried_rarely() {
     let mut resolver = new_resolver();
     let query = only_query(&mut resolver, NOW);
-    resolver.heard(NOW, query.ticket, &reply(&query, add_both_servers));
+    resolver.handle_answer(NOW, query.ticket, &reply(&query, add_both_servers));
     let (mut now, mut query_count) = (NOW, 0);
     while now < NOW + 100_000 {
         now = resolver.due(now).max(now + 1);
-        let queries = resolver.asks(now);
+        let queries = resolver.due_queries(now);
         query_count += queries.len();
         for query in queries {
             match query.ticket % 3 {
-                0 => resolver.failed(now, query.ticket, Failure::TimedOut),
-                1 => resolver.heard(
+                0 => resolver.handle_failure(now, query.ticket, Failure::TimedOut),
+                1 => resolver.handle_answer(
                     now,
                     query.ticket,
                     &reply(&query, |m| {
                         m.metadata.response_code = ResponseCode::ServFail;
                     }),
                 ),
-                _ => resolver.heard(now, query.ticket, b"what is this"),
+                _ => resolver.handle_answer(now, query.ticket, b"what is this"),
             }
         }
         assert_eq!(addresses(&mut resolver, now), BOTH, "{}", now - NOW);
@@ -202,14 +202,14 @@
     // Three names, two servers, back-off of up to 30 s for each: not much more than one query every four
     // seconds.
     assert!((10..=40).contains(&query_count), "{query_count}");
-    assert_eq!(resolver.view(NOW + 19_999).word, DnsTrust::Fresh);
-    assert_eq!(resolver.view(NOW + 20_000).word, DnsTrust::Stale);
-    assert_eq!(resolver.view(NOW + 119_999).named.len(), 2);
+    assert_eq!(resolver.view(NOW + 19_999).trust, DnsTrust::Fresh);
+    assert_eq!(resolver.view(NOW + 20_000).trust, DnsTrust::Stale);
+    assert_eq!(resolver.view(NOW + 119_999).servers.len(), 2);
     assert_eq!(
-        (resolver.view(NOW + 120_000).word, resolver.view(NOW + 120_000).named.len()),
-        (DnsTrust::Silent, 0)
+        (resolver.view(NOW + 120_000).trust, resolver.view(NOW + 120_000).servers.len()),
+        (DnsTrust::Expired, 0)
     );
-    assert!(resolver.trouble().is_some_and(|t| t.contains("example.org")));
+    assert!(resolver.take_last_error().is_some_and(|t| t.contains("example.org")));
 }
 
 /// While all servers are down, 60 hosts do not cause 60 queries: there is one query at a time, less and less
@@ -218,7 +218,7 @@
 fn silent_servers_get_one_query_at_a_time() {
     let mut resolver = new_resolver();
     let query = only_query(&mut resolver, NOW);
-    resolver.heard(
+    resolver.handle_answer(
         NOW,
         query.ticket,
         &reply(&query, |m| {
@@ -230,10 +230,10 @@
     );
     let (mut now, mut outstanding, mut query_count, mut late) = (NOW, Vec::new(), 0, 0);
     while now < NOW + 100_000 {
-        for query in resolver.asks(now) {
+        for query in resolver.due_queries(now) {
             query_count += 1;
             late += u64::from(now > NOW + 50_000);
-            outstanding.push((now + query.wait, query));
+            outstanding.push((now + query.timeout_ms, query));
         }
         assert!(
             outstanding.len() <= if query_count > 16 { 1 } else { 8 },
@@ -244,17 +244,17 @@
         now = resolver.due(now).min(next).max(now + 1);
         outstanding.retain(|(deadline, query)| {
             if *deadline <= now {
-                resolver.failed(now, query.ticket, Failure::TimedOut);
+                resolver.handle_failure(now, query.ticket, Failure::TimedOut);
             }
             *deadline > now
         });
     }
-    assert_eq!(resolver.view(now).named.len(), 60);
+    assert_eq!(resolver.view(now).servers.len(), 60);
     assert!(query_count <= 40 && late <= 6, "{query_count} queries, {late} in the second half");
     // After one server recovers, queries are sent at the normal rate again.
     now = resolver.due(now);
     let query = only_query(&mut resolver, now);
-    resolver.heard(
+    resolver.handle_answer(
         now,
         query.ticket,
         &reply(&query, |m| match query.question.kind {
@@ -266,7 +266,7 @@
             }
         }),
     );
-    assert_eq!(resolver.asks(now).len(), 8);
+    assert_eq!(resolver.due_queries(now).len(), 8);
 }
 
 #[test]
@@ -301,9 +301,9 @@
     for (fill, lifetime) in cases {
         let mut resolver = new_resolver();
         let query = only_query(&mut resolver, NOW);
-        resolver.heard(NOW, query.ticket, &reply(&query, fill));
+        resolver.handle_answer(NOW, query.ticket, &reply(&query, fill));
         let view = resolver.view(NOW);
-        assert_eq!((view.word, view.named.len(), view.pending, view.answers), (DnsTrust::Nothing, 0, 0, 1));
+        assert_eq!((view.trust, view.servers.len(), view.pending, view.answers), (DnsTrust::Empty, 0, 0, 1));
         let due = resolver.due(NOW) - NOW;
         assert!((lifetime * 7 / 10..=lifetime).contains(&due), "{lifetime}: {due}");
     }
@@ -314,7 +314,7 @@
     for ttl in [0, 1 << 31, u32::MAX] {
         let mut resolver = new_resolver();
         let query = only_query(&mut resolver, NOW);
-        resolver.heard(
+        resolver.handle_answer(
             NOW,
             query.ticket,
             &reply(&query, |m| {
@@ -333,7 +333,7 @@
     let query = only_query(&mut resolver, NOW);
     // The end of the chain is not in the answer: it is queried next, and the result is stored for the
     // service's own name.
-    resolver.heard(
+    resolver.handle_answer(
         NOW,
         query.ticket,
         &reply(&query, |m| {
@@ -342,7 +342,7 @@
     );
     let query = only_query(&mut resolver, NOW);
     assert_eq!(query.question.name, name("boxes.example.net."));
-    resolver.heard(
+    resolver.handle_answer(
         NOW,
         query.ticket,
         &reply(&query, |m| {
@@ -355,7 +355,7 @@
         }),
     );
     assert_eq!(addresses(&mut resolver, NOW), ["10.1.0.1:1"]);
-    let again = resolver.asks(NOW + 60_000);
+    let again = resolver.due_queries(NOW + 60_000);
     assert!(
         again.iter().any(|query| query.question.name == name(SERVICE)),
         "a refresh must start at the name itself"
@@ -363,7 +363,7 @@
     // Loops within one answer and over several answers.
     let mut resolver = new_resolver();
     let query = only_query(&mut resolver, NOW);
-    resolver.heard(
+    resolver.handle_answer(
         NOW,
         query.ticket,
         &reply(&query, |m| {
@@ -373,10 +373,10 @@
     assert_eq!(resolver.counts().failed, 1);
     let mut resolver = new_resolver();
     let mut query_count = 0;
-    while let [query] = &resolver.asks(NOW)[..] {
+    while let [query] = &resolver.due_queries(NOW)[..] {
         query_count += 1;
         let to = if query.question.name == name(SERVICE) { "x.example.org." } else { SERVICE };
-        resolver.heard(
+        resolver.handle_answer(
             NOW,
             query.ticket,
             &reply(query, |m| {
@@ -385,7 +385,7 @@
         );
     }
     assert_eq!(query_count, 9, "eight links, and the query that finds one too many");
-    assert_eq!(resolver.view(NOW).word, DnsTrust::Unknown);
+    assert_eq!(resolver.view(NOW).trust, DnsTrust::Unknown);
 }
 
 #[test]
@@ -410,11 +410,11 @@
         Vec::new(),
         vec![0; 2],
     ] {
-        assert_eq!(query.question.matches(&foreign), Match::Not, "{foreign:?}");
+        assert_eq!(query.question.matches(&foreign), Match::NoMatch, "{foreign:?}");
     }
     assert_eq!(query.question.matches(&valid_answer[..valid_answer.len() - 3]), Match::Broken);
     assert!(matches!(query.question.matches(&valid_answer), Match::Answer(_)));
-    resolver.heard(
+    resolver.handle_answer(
         NOW,
         query.ticket,
         &reply(&query, |m| {
@@ -434,7 +434,7 @@
     let mut resolver = new_resolver();
     let query = only_query(&mut resolver, NOW);
     assert!(Message::from_vec(&query.bytes).unwrap().edns.is_some());
-    resolver.heard(
+    resolver.handle_answer(
         NOW,
         query.ticket,
         &reply(&query, |m| {
@@ -446,7 +446,7 @@
     assert_eq!(again.server, query.server);
     assert!(Message::from_vec(&again.bytes).unwrap().edns.is_none());
     // The same error for the query without EDNS makes the answer unusable.
-    resolver.heard(
+    resolver.handle_answer(
         NOW,
         again.ticket,
         &reply(&again, |m| {
@@ -470,13 +470,13 @@
     };
     let mut resolver = new_resolver();
     let query = only_query(&mut resolver, NOW);
-    resolver.heard(NOW, query.ticket, &reply(&query, add_hosts(500)));
+    resolver.handle_answer(NOW, query.ticket, &reply(&query, add_hosts(500)));
     assert_eq!(addresses(&mut resolver, NOW).len(), 500);
     let mut resolver = new_resolver();
     let query = only_query(&mut resolver, NOW);
-    resolver.heard(NOW, query.ticket, &reply(&query, add_hosts(520)));
-    assert_eq!((resolver.view(NOW).word, resolver.len()), (DnsTrust::Unknown, 1));
-    assert!(resolver.trouble().unwrap().contains("1040 records, more than the limit of 1024"));
+    resolver.handle_answer(NOW, query.ticket, &reply(&query, add_hosts(520)));
+    assert_eq!((resolver.view(NOW).trust, resolver.len()), (DnsTrust::Unknown, 1));
+    assert!(resolver.take_last_error().unwrap().contains("1040 records, more than the limit of 1024"));
 }
 
 #[test]
@@ -488,13 +488,13 @@
         let mut resolver = Resolver::new(limited.clone(), [node; 32], NOW).unwrap();
         let mut now = NOW;
         while now < NOW + 30_000 {
-            for query in resolver.asks(now) {
+            for query in resolver.due_queries(now) {
                 if query.ticket == 1 {
                     first_queries.push(now);
                 }
                 queries_per_second[(now - NOW) as usize / 1000] += 1;
                 // 60 hosts, without additional addresses.
-                resolver.heard(
+                resolver.handle_answer(
                     now,
                     query.ticket,
                     &reply(&query, |m| match query.question.kind {
@@ -529,8 +529,8 @@
     assert_eq!(resolver.due(NOW), NOW + 1_500);
     let again = only_query(&mut resolver, NOW + 1_500);
     assert_ne!(again.server, query.server);
-    resolver.heard(NOW + 1_600, query.ticket, &reply(&query, add_both_servers));
-    assert_eq!(resolver.view(NOW + 1_600).word, DnsTrust::Unknown, "the query has ended");
+    resolver.handle_answer(NOW + 1_600, query.ticket, &reply(&query, add_both_servers));
+    assert_eq!(resolver.view(NOW + 1_600).trust, DnsTrust::Unknown, "the query has ended");
 }
 
 /// The longest valid name has 255 bytes on the wire; a longer one is rejected.
@@ -545,7 +545,7 @@
     let service = name(&longest);
     let mut resolver = Resolver::new(Settings { service, ..settings() }, [7; 32], NOW).unwrap();
     let query = only_query(&mut resolver, NOW);
-    resolver.heard(
+    resolver.handle_answer(
         NOW,
         query.ticket,
         &reply(&query, |m| {
@@ -589,7 +589,7 @@
         let mut resolver = new_resolver();
         let mut now = NOW;
         for (changes, length, suffix) in corruptions {
-            for query in resolver.asks(now) {
+            for query in resolver.due_queries(now) {
                 let mut bytes = reply(&query, |m| {
                     add_both_servers(m);
                     m.add_answers([
@@ -607,12 +607,12 @@
                     }
                 }
                 let _ = query.question.matches(&bytes);
-                resolver.heard(now, query.ticket, &bytes);
-                prop_assert!(resolver.asks(now).iter().all(|other| other.ticket != query.ticket));
+                resolver.handle_answer(now, query.ticket, &bytes);
+                prop_assert!(resolver.due_queries(now).iter().all(|other| other.ticket != query.ticket));
             }
             let view = resolver.view(now);
             let inside = |ip: IpAddr| matches!(ip, IpAddr::V4(ip) if ip.octets()[0] == 10);
-            prop_assert!(view.named.iter().all(|n| inside(n.address.ip())));
+            prop_assert!(view.servers.iter().all(|n| inside(n.address.ip())));
             prop_assert!(resolver.len() <= 1 + 1024 && view.pending <= 1024);
             now = resolver.due(now).max(now + 1);
         }
--- a/crates/mothpier-net/src/inherited.rs
+++ b/crates/mothpier-net/src/inherited.rs
@@ -14,7 +14,7 @@
 /// # Errors
 ///
 /// Returns a description of what the descriptor is instead.
-pub fn inherited(number: &str) -> Result<TcpListener, String> {
+pub fn inherited_listener(number: &str) -> Result<TcpListener, String> {
     let descriptor: i32 = number.parse().map_err(|_| format!("{number:?} is not a descriptor number"))?;
     if descriptor < FIRST_DESCRIPTOR {
         return Err(format!("descriptor {descriptor} is one of the standard streams"));
--- a/crates/mothpier-net/src/lib.rs
+++ b/crates/mothpier-net/src/lib.rs
@@ -22,8 +22,8 @@
 use bytes::BytesMut;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-pub use inherited::inherited;
-pub use limits::open_files;
+pub use inherited::inherited_listener;
+pub use limits::open_file_limit;
 pub use signals::{Signal, Signals};
 pub use tokio_net::{AnyListener, AnyReadHalf, AnyStream, AnyWriteHalf, Tokio};
 pub use unix::UnixSocketSpec;
--- a/crates/mothpier-net/src/signals.rs
+++ b/crates/mothpier-net/src/signals.rs
@@ -42,7 +42,7 @@
     /// # Errors
     ///
     /// No descriptors are left for the pipe, or a handler can't be installed.
-    pub fn take() -> io::Result<Self> {
+    pub fn install() -> io::Result<Self> {
         let (wake_sender, wake_receiver) = std::os::unix::net::UnixStream::pair()?;
         wake_receiver.set_nonblocking(true)?;
         let handled = [(Signal::Terminate, SIGTERM), (Signal::Interrupt, SIGINT), (Signal::HangUp, SIGHUP)];
--- a/crates/mothpier-sim/src/cold_ramp/fleet.rs
+++ b/crates/mothpier-sim/src/cold_ramp/fleet.rs
@@ -458,7 +458,7 @@
         server.holds.retain(|ends| *ends > now);
         let busy = (server.holds.len() as f32 / CORES as f32).min(1.0);
         if server.holds.len() >= CORES * (1 + QUEUE) {
-            return self.ends_after(0, call, Status::Full, busy);
+            return self.ends_after(0, call, Status::Rejected, busy);
         }
         let mean = CORES as f64 / (server.capacity * warmth) * 1e6;
         let work = -(1.0 - self.dice.unit()).ln() * mean;
--- a/crates/mothpier-sim/src/names.rs
+++ b/crates/mothpier-sim/src/names.rs
@@ -121,7 +121,7 @@
                 stale: STALE_MS,
                 ..Lifetimes::default()
             },
-            wait: 400,
+            timeout_ms: 400,
             ipv6: false,
             // None: a forged answer must be known by itself.
             networks: Vec::new(),
--- a/crates/mothpier-sim/src/play/checks.rs
+++ b/crates/mothpier-sim/src/play/checks.rs
@@ -75,8 +75,8 @@
             let astray = slots.cluster.counts.get().astray - self.astray.get();
             // A budget that lets a node ask once in a minute has not brought it the map by then.
             let nodes = self.nodes.borrow().len() as f64;
-            let asks =
-                RefreshBudget::default().ask as f64 * nodes <= self.settings.questions_per_s * ASKS_WITHIN_S;
+            let asks = RefreshBudget::default().servers_per_round as f64 * nodes
+                <= self.settings.questions_per_s * ASKS_WITHIN_S;
             if asks && astray > PROBES / ASTRAY {
                 let what = format!(
                     "in a healed world {astray} of {} requests go to boxes that do not own their slots",
--- a/crates/mothpier-sim/src/play/node_config.rs
+++ b/crates/mothpier-sim/src/play/node_config.rs
@@ -108,10 +108,10 @@
         }
         let rumours = gossip::Settings { trust_ms: 20_000, ..gossip::Settings::default() };
         let membership = Settings {
-            gone_ms: 60_000,
-            doubt: ShrinkGuard { hold_ms: 3_000, ..ShrinkGuard::default() },
-            rumours: beside.rumours().then_some(rumours),
-            like: ServerTemplate { locality: "a".into(), flavor: "m".into(), cell: 0 },
+            tombstone_ms: 60_000,
+            shrink_guard: ShrinkGuard { hold_ms: 3_000, ..ShrinkGuard::default() },
+            gossip: beside.rumours().then_some(rumours),
+            template: ServerTemplate { locality: "a".into(), flavor: "m".into(), cell: 0 },
             origin: Some("origin".into()),
             fixed: Vec::new(),
         };
--- a/crates/mothpier-sim/src/play/nodes.rs
+++ b/crates/mothpier-sim/src/play/nodes.rs
@@ -40,7 +40,7 @@
             read_copies: false,
             budget: RefreshBudget {
                 tier_per_s: self.settings.questions_per_s,
-                calm: 5_000,
+                idle_interval_ms: 5_000,
                 ..RefreshBudget::default()
             },
             wait: Duration::from_millis(400),
--- a/crates/mothpier-slots/src/pool.rs
+++ b/crates/mothpier-slots/src/pool.rs
@@ -22,7 +22,7 @@
         ask: bool,
     },
     /// The command did not run, and no other server was named.
-    TurnedAway(UnavailableReason),
+    Rejected(UnavailableReason),
     /// The line starts like a redirection but is malformed; the command may have run.
     Unreadable(RedirectError),
     /// The redirection is for a different slot than the request's; the command may have run.
@@ -44,7 +44,7 @@
 
     /// Interprets an error line with which a server answered a request for `slot` (`None` if the request has
     /// finished). Returns `None` for a line that is not specific to clusters.
-    pub fn said(
+    pub fn classify_error(
         &mut self,
         now: Millis,
         line: &str,
@@ -58,7 +58,7 @@
                 if reason.suggests_stale_map() {
                     self.refresh.report_stale(now);
                 }
-                ErrorMeaning::TurnedAway(reason)
+                ErrorMeaning::Rejected(reason)
             }
             Ok(ClusterError::Redirect(redirection)) if slot.is_some_and(|slot| slot != redirection.slot) => {
                 ErrorMeaning::OtherSlot(redirection.slot)
@@ -79,16 +79,16 @@
 
     /// Records that the server named by a `MOVED` accepted the command and so owns the slot. Returns what
     /// changed.
-    pub fn moved(&mut self, slot: u16, to: ServerId) -> Option<SlotAssignment> {
-        self.table.moved(slot, to)
+    pub fn record_move(&mut self, slot: u16, to: ServerId) -> Option<SlotAssignment> {
+        self.table.record_move(slot, to)
     }
 
     /// Looks up the servers of the map again after a change of the server list. Returns whether there is a
     /// map.
-    pub fn relist(&mut self, lookup: ServerLookup<'_>) -> bool {
+    pub fn refresh_lookup(&mut self, lookup: ServerLookup<'_>) -> bool {
         let known = !self.table.is_empty();
         if known {
-            self.table.relist(lookup);
+            self.table.refresh_lookup(lookup);
         }
         known
     }
@@ -104,20 +104,20 @@
     }
 
     /// Starts the refresh round that is due and returns the servers to query.
-    pub fn begin(&mut self, now: Millis, ready: &[ServerId]) -> Vec<ServerId> {
-        self.refresh.begin(now, ready, self.table.redirect_mark())
+    pub fn start_round(&mut self, now: Millis, ready: &[ServerId]) -> Vec<ServerId> {
+        self.refresh.start_round(now, ready, self.table.redirect_mark())
     }
 
     /// Records the answer of a queried server, or `None` if no readable answer arrived in time. Returns the
     /// outcome of the merge once the round is complete.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Millis,
         from: ServerId,
         view: Option<ServerView>,
         lookup: ServerLookup<'_>,
     ) -> Option<Merged> {
-        let RoundResult { views, mark } = self.refresh.answered(now, from, view)?;
+        let RoundResult { views, mark } = self.refresh.record_answer(now, from, view)?;
         Some(self.table.merge(views, mark, lookup))
     }
 }
--- a/crates/mothpier-slots/src/pool/tests.rs
+++ b/crates/mothpier-slots/src/pool/tests.rs
@@ -10,7 +10,7 @@
 #[test]
 fn error_lines_are_interpreted_and_may_mark_the_map_as_stale() {
     let from: SocketAddr = "10.1.0.9:7000".parse().unwrap();
-    let long_interval = Budget { calm: 1_000_000_000, ..Budget::default() };
+    let long_interval = Budget { idle_interval_ms: 1_000_000_000, ..Budget::default() };
     let redirected = |to, ask| Some(ErrorMeaning::Redirected { to, ask });
     for (line, meaning, stale) in [
         ("MOVED 7 10.1.0.3:7000", redirected(Some(3), false), true),
@@ -20,24 +20,24 @@
         ("ASK 7 ::1:7000", redirected(Some(6), true), false),
         ("MOVED 8 10.1.0.3:7000", Some(ErrorMeaning::OtherSlot(8)), false),
         ("MOVED 7 10.1.0.3:70000", Some(ErrorMeaning::Unreadable(RedirectError::Port)), false),
-        ("TRYAGAIN", Some(ErrorMeaning::TurnedAway(UnavailableReason::TryAgain)), false),
-        ("LOADING", Some(ErrorMeaning::TurnedAway(UnavailableReason::Loading)), false),
+        ("TRYAGAIN", Some(ErrorMeaning::Rejected(UnavailableReason::TryAgain)), false),
+        ("LOADING", Some(ErrorMeaning::Rejected(UnavailableReason::Loading)), false),
         (
             "CLUSTERDOWN Hash slot not served",
-            Some(ErrorMeaning::TurnedAway(UnavailableReason::ClusterDown)),
+            Some(ErrorMeaning::Rejected(UnavailableReason::ClusterDown)),
             true,
         ),
-        ("READONLY x", Some(ErrorMeaning::TurnedAway(UnavailableReason::ReadOnly)), true),
+        ("READONLY x", Some(ErrorMeaning::Rejected(UnavailableReason::ReadOnly)), true),
         ("ERR failed", None, false),
     ] {
         let mut pool = Pool::new(false, long_interval, 1, 0);
         // Complete the first round, so that the next one is far off.
         let now = pool.due().unwrap();
-        for id in pool.begin(now, &[1]) {
-            pool.answered(now, id, Some((from, crate::view::View::default())), &lookup);
+        for id in pool.start_round(now, &[1]) {
+            pool.record_answer(now, id, Some((from, crate::view::View::default())), &lookup);
         }
         let due = pool.due().unwrap();
-        assert_eq!(pool.said(now, line, Some(7), from, &lookup), meaning, "{line}");
+        assert_eq!(pool.classify_error(now, line, Some(7), from, &lookup), meaning, "{line}");
         assert_eq!(pool.due().unwrap() < due, stale, "{line}");
     }
 }
@@ -46,7 +46,7 @@
 fn a_redirection_for_a_finished_request_may_name_any_slot() {
     let mut pool = Pool::new(false, Budget::default(), 1, 0);
     let from = "10.1.0.9:7000".parse().unwrap();
-    let meaning = pool.said(0, "MOVED 8 10.1.0.3:7000", None, from, &lookup);
+    let meaning = pool.classify_error(0, "MOVED 8 10.1.0.3:7000", None, from, &lookup);
     assert_eq!(meaning, Some(ErrorMeaning::Redirected { to: Some(3), ask: false }));
-    assert!(!pool.relist(&lookup), "no map has been received");
+    assert!(!pool.refresh_lookup(&lookup), "no map has been received");
 }
--- a/crates/mothpier-slots/src/refresh.rs
+++ b/crates/mothpier-slots/src/refresh.rs
@@ -23,18 +23,18 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// Number of servers queried in one round, so that their answers can be compared.
-    pub ask: usize,
+    pub servers_per_round: usize,
     /// Maximum rate of requests per second from all nodes of the tier to all servers.
     pub tier_per_s: f64,
     /// Interval between rounds while nothing hints at a stale map, in milliseconds.
-    pub calm: Millis,
+    pub idle_interval_ms: Millis,
     /// Number of nodes in the tier.
     pub nodes: usize,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { ask: 3, tier_per_s: 40.0, calm: 60_000, nodes: 1 }
+        Budget { servers_per_round: 3, tier_per_s: 40.0, idle_interval_ms: 60_000, nodes: 1 }
     }
 }
 
@@ -42,7 +42,7 @@
     /// Returns the mean interval between rounds of one node that receives hints all the time, in
     /// milliseconds.
     pub fn round_interval(&self) -> Millis {
-        let per_round = self.ask.max(1) as f64 * self.nodes.max(1) as f64;
+        let per_round = self.servers_per_round.max(1) as f64 * self.nodes.max(1) as f64;
         ((per_round / self.tier_per_s.max(1e-3) * 1_000.0) as Millis).max(MIN_ROUND_INTERVAL_MS)
     }
 }
@@ -123,14 +123,14 @@
     }
 
     /// Starts the round that is due and returns the servers to query, drawn at random from the ready ones.
-    pub fn begin(&mut self, now: Millis, ready: &[ServerId], mark: u64) -> Vec<ServerId> {
+    pub fn start_round(&mut self, now: Millis, ready: &[ServerId], mark: u64) -> Vec<ServerId> {
         if self.round_in_progress.is_some() || now < self.due {
             return Vec::new();
         }
         (self.last_started_at, self.suspected_stale) = (Some(now), false);
         let mut candidates = ready.to_vec();
         let mut selected = Vec::new();
-        while selected.len() < self.budget.ask && !candidates.is_empty() {
+        while selected.len() < self.budget.servers_per_round && !candidates.is_empty() {
             let index = self.rng.rand_range(0..candidates.len() as u64) as usize;
             selected.push(candidates.swap_remove(index));
         }
@@ -146,7 +146,12 @@
 
     /// Records the answer of a queried server, or `None` if none was readable. Must be called once for each
     /// queried server.
-    pub fn answered(&mut self, now: Millis, from: ServerId, view: Option<ServerView>) -> Option<RoundResult> {
+    pub fn record_answer(
+        &mut self,
+        now: Millis,
+        from: ServerId,
+        view: Option<ServerView>,
+    ) -> Option<RoundResult> {
         let round = self.round_in_progress.as_mut()?;
         let index = round.unanswered.iter().position(|id| *id == from)?;
         round.unanswered.swap_remove(index);
@@ -169,7 +174,7 @@
         let (min_delay, spread) = if retry_soon {
             (self.round_interval() / 2, self.round_interval())
         } else {
-            (self.budget.calm / 2, self.budget.calm)
+            (self.budget.idle_interval_ms / 2, self.budget.idle_interval_ms)
         };
         self.due = (last_started_at + min_delay).max(now) + self.random_delay(spread);
     }
--- a/crates/mothpier-slots/src/refresh/tests.rs
+++ b/crates/mothpier-slots/src/refresh/tests.rs
@@ -22,9 +22,9 @@
             if hints(now) {
                 node.report_stale(now);
             }
-            for id in node.begin(now, &READY, 0) {
+            for id in node.start_round(now, &READY, 0) {
                 requests.push(now);
-                node.answered(now, id, view().filter(|_| answering));
+                node.record_answer(now, id, view().filter(|_| answering));
             }
         }
     }
@@ -50,10 +50,10 @@
         assert!(max <= 100, "{nodes} nodes send {max} requests in one second");
         // One hint at all nodes in the same millisecond after a quiet time: each node queries once, spread
         // over its interval.
-        let rare_checks = Budget { calm: 1_000_000, ..budget };
+        let rare_checks = Budget { idle_interval_ms: 1_000_000, ..budget };
         let requests = request_times(rare_checks, |now| now == 10_000, 24_000, true);
         let after_hint: Vec<Millis> = requests.into_iter().filter(|time| *time >= 10_000).collect();
-        assert_eq!(after_hint.len(), nodes * budget.ask);
+        assert_eq!(after_hint.len(), nodes * budget.servers_per_round);
         assert!(max_per_second(&after_hint) <= 75, "{nodes}: {}", max_per_second(&after_hint));
     }
 }
@@ -69,14 +69,16 @@
     let mut now = 0;
     for answering in [false, false, false, true] {
         now = node.due().unwrap();
-        let servers = node.begin(now, &READY, 7);
+        let servers = node.start_round(now, &READY, 7);
         assert_eq!(servers.len(), 3);
-        let results: Vec<_> =
-            servers.iter().filter_map(|id| node.answered(now, *id, view().filter(|_| answering))).collect();
+        let results: Vec<_> = servers
+            .iter()
+            .filter_map(|id| node.record_answer(now, *id, view().filter(|_| answering)))
+            .collect();
         assert_eq!(results.len(), 1);
         assert_eq!((results[0].mark, results[0].views.len()), (7, if answering { 3 } else { 0 }));
     }
-    assert!(node.due().unwrap() >= now + budget.calm / 2);
+    assert!(node.due().unwrap() >= now + budget.idle_interval_ms / 2);
 }
 
 #[test]
@@ -84,19 +86,22 @@
     let requests = request_times(Budget::default(), |_| false, 600_000, true);
     assert!((15..=63).contains(&requests.len()), "{} requests in ten minutes", requests.len());
     let mut node = Refresh::new(Budget::default(), 1, 0);
-    assert_eq!(node.answered(0, 1, view()), None);
+    assert_eq!(node.record_answer(0, 1, view()), None);
     let now = node.due().unwrap();
-    assert!(node.begin(now.wrapping_sub(1), &READY, 0).is_empty() || now == 0);
-    let servers = node.begin(now, &READY, 0);
+    assert!(node.start_round(now.wrapping_sub(1), &READY, 0).is_empty() || now == 0);
+    let servers = node.start_round(now, &READY, 0);
     assert_eq!(node.due(), None);
-    assert!(node.begin(now + 1, &READY, 0).is_empty(), "a second round started while one is in progress");
-    assert_eq!(node.answered(now, 77, view()), None, "a server that was not queried");
-    assert_eq!(node.answered(now, servers[0], view()), None);
-    assert_eq!(node.answered(now, servers[0], view()), None, "a second answer of the same server");
+    assert!(
+        node.start_round(now + 1, &READY, 0).is_empty(),
+        "a second round started while one is in progress"
+    );
+    assert_eq!(node.record_answer(now, 77, view()), None, "a server that was not queried");
+    assert_eq!(node.record_answer(now, servers[0], view()), None);
+    assert_eq!(node.record_answer(now, servers[0], view()), None, "a second answer of the same server");
     // A hint during the round: the next round follows as soon as the budget allows.
     node.report_stale(now + 1);
-    assert_eq!(node.answered(now + 2, servers[1], None), None);
-    assert_eq!(node.answered(now + 2, servers[2], None).map(|result| result.views.len()), Some(1));
+    assert_eq!(node.record_answer(now + 2, servers[1], None), None);
+    assert_eq!(node.record_answer(now + 2, servers[2], None).map(|result| result.views.len()), Some(1));
     assert!(node.due().unwrap() <= now + 2 * Budget::default().round_interval());
 }
 
@@ -104,7 +109,7 @@
 fn without_ready_servers_the_round_is_retried() {
     let mut node = Refresh::new(Budget::default(), 1, 0);
     let now = node.due().unwrap();
-    assert!(node.begin(now, &[], 0).is_empty());
+    assert!(node.start_round(now, &[], 0).is_empty());
     let next = node.due().unwrap();
-    assert!(next > now && node.begin(next, &[9], 0) == [9]);
+    assert!(next > now && node.start_round(next, &[9], 0) == [9]);
 }
--- a/crates/mothpier-slots/src/table.rs
+++ b/crates/mothpier-slots/src/table.rs
@@ -44,7 +44,7 @@
     /// The last slot.
     pub last: u16,
     /// The owner, followed by the replicas that may be read.
-    pub boxes: Vec<ServerId>,
+    pub servers: Vec<ServerId>,
 }
 
 /// The outcome of merging a round of answers.
@@ -138,13 +138,13 @@
     }
 
     /// Looks up all servers again after a change of the server list.
-    pub fn relist(&mut self, lookup: ServerLookup<'_>) -> Merged {
+    pub fn refresh_lookup(&mut self, lookup: ServerLookup<'_>) -> Merged {
         self.build(lookup)
     }
 
     /// Records a confirmed redirection: the named server accepted a command for the slot. Returns what
     /// changed.
-    pub fn moved(&mut self, slot: u16, to: ServerId) -> Option<SlotAssignment> {
+    pub fn record_move(&mut self, slot: u16, to: ServerId) -> Option<SlotAssignment> {
         if slot >= SLOTS || self.servers_of(slot).first() == Some(&to) {
             return None;
         }
@@ -152,7 +152,7 @@
         self.learned_moves.insert(slot, (self.move_count, to));
         // The replicas are unknown: a redirection names only the owner.
         self.slots[usize::from(slot)] = self.intern(vec![to]);
-        Some(SlotAssignment { first: slot, last: slot, boxes: vec![to] })
+        Some(SlotAssignment { first: slot, last: slot, servers: vec![to] })
     }
 
     /// Returns the table as ranges in ascending order, without uncovered slots.
@@ -169,7 +169,7 @@
             .map(|(first, last, set_index)| SlotAssignment {
                 first,
                 last,
-                boxes: self.server_sets[set_index as usize].clone(),
+                servers: self.server_sets[set_index as usize].clone(),
             })
             .collect()
     }
--- a/crates/mothpier-slots/src/table/tests.rs
+++ b/crates/mothpier-slots/src/table/tests.rs
@@ -73,16 +73,16 @@
     let mut table = Table::new(false);
     table.merge(vec![(address_of(1), view(1, &[(0, 16_383, ONE)]))], 0, &lookup);
     let mark = table.redirect_mark();
-    assert_eq!(table.moved(7, 2), Some(SlotAssignment { first: 7, last: 7, boxes: vec![2] }));
-    assert_eq!(table.moved(7, 2), None);
+    assert_eq!(table.record_move(7, 2), Some(SlotAssignment { first: 7, last: 7, servers: vec![2] }));
+    assert_eq!(table.record_move(7, 2), None);
     // A round that started before the redirection does not override it; one that started after it does.
     table.merge(vec![(address_of(1), view(1, &[(0, 16_383, ONE)]))], mark, &lookup);
     assert_eq!((table.servers_of(6), table.servers_of(7)), (&[1][..], &[2][..]));
-    table.relist(&lookup);
+    table.refresh_lookup(&lookup);
     assert_eq!(table.servers_of(7), [2]);
     table.merge(vec![(address_of(1), view(1, &[(0, 16_383, ONE)]))], table.redirect_mark(), &lookup);
     assert_eq!(table.servers_of(7), [1]);
-    assert_eq!(table.moved(SLOTS, 2), None);
+    assert_eq!(table.record_move(SLOTS, 2), None);
 }
 
 #[test]
@@ -106,11 +106,11 @@
     let without_two = |addr: SocketAddr| lookup(addr).filter(|id| *id != 2);
     let merged = table.merge(vec![(address_of(1), view)], 0, &without_two);
     assert_eq!((merged.uncovered, table.servers_of(0)), (SLOTS, &[][..]));
-    assert_eq!(table.relist(&lookup).uncovered, SLOTS - 10);
+    assert_eq!(table.refresh_lookup(&lookup).uncovered, SLOTS - 10);
     assert_eq!(table.servers_of(0), [2, 3], "no duplicates, and no server that is not in the list");
     let endpoint = Endpoint { host: Host::Name("pb3.example.org".into()), port: Some(7000) };
     assert_eq!(table.resolve(&endpoint, address_of(1)), Some(address_of(3)));
-    assert_eq!(table.ranges(), [SlotAssignment { first: 0, last: 9, boxes: vec![2, 3] }]);
+    assert_eq!(table.ranges(), [SlotAssignment { first: 0, last: 9, servers: vec![2, 3] }]);
     // Replicas are included only if reads from replicas are enabled.
     let mut owners_only = Table::new(false);
     owners_only.merge(table.views.clone(), 0, &lookup);
@@ -144,7 +144,7 @@
                 .collect();
             assert!(matching.len() <= 1);
             assert_eq!(
-                matching.first().map_or(&[][..], |assignment| &assignment.boxes[..]),
+                matching.first().map_or(&[][..], |assignment| &assignment.servers[..]),
                 table.servers_of(slot)
             );
         }
--- a/crates/mothpier-slots/src/tier.rs
+++ b/crates/mothpier-slots/src/tier.rs
@@ -219,7 +219,7 @@
     }
 
     /// Processes a message from another node. Malformed messages and implausible entries are ignored.
-    pub fn heard(&mut self, unix_ms: u64, from: usize, bytes: &[u8]) {
+    pub fn handle_message(&mut self, unix_ms: u64, from: usize, bytes: &[u8]) {
         let Some(entries) = bytes.strip_prefix(&MAGIC) else { return };
         if from >= self.nodes.len() || from == self.own_index || !entries.len().is_multiple_of(ENTRY_BYTES) {
             return;
--- a/crates/mothpier-slots/src/tier/tests.rs
+++ b/crates/mothpier-slots/src/tier/tests.rs
@@ -50,7 +50,7 @@
 fn a_silent_node_loses_its_slots_until_it_is_heard_again() {
     let (mut a, mut b) = (tier(2, 0), tier(2, 1));
     let message = b.tick(T).unwrap();
-    a.heard(T, 1, &message);
+    a.handle_message(T, 1, &message);
     assert!(a.up(1));
     a.tick(T + SILENCE_TIMEOUT_MS);
     assert!(a.up(1));
@@ -58,10 +58,10 @@
     let message = a.tick(T + SILENCE_TIMEOUT_MS + 1).unwrap();
     assert!(!a.up(1) && a.epoch() > epoch);
     // The other node learns that it is taken for stopped and announces itself again.
-    b.heard(T + SILENCE_TIMEOUT_MS + 1, 0, &message);
+    b.handle_message(T + SILENCE_TIMEOUT_MS + 1, 0, &message);
     assert!(b.up(1));
     let message = b.tick(T + SILENCE_TIMEOUT_MS + 2).unwrap();
-    a.heard(T + SILENCE_TIMEOUT_MS + 2, 1, &message);
+    a.handle_message(T + SILENCE_TIMEOUT_MS + 2, 1, &message);
     assert!(a.up(1));
     assert_eq!((a.epoch(), a.ranges()), (b.epoch(), b.ranges()));
 }
@@ -71,15 +71,15 @@
     let (mut a, mut b) = (tier(2, 0), tier(2, 1));
     b.stop();
     let message = b.tick(T + 1).unwrap();
-    a.heard(T + 1, 1, &message);
+    a.handle_message(T + 1, 1, &message);
     assert!(!a.up(1));
     let message = a.tick(T + 1).unwrap();
-    b.heard(T + 1, 0, &message);
+    b.handle_message(T + 1, 0, &message);
     assert!(!b.up(1));
     // After a restart it runs again.
     let mut restarted = Tier::new(nodes(2), 1, true, T + 5_000).unwrap();
     let message = restarted.tick(T + 5_000).unwrap();
-    a.heard(T + 5_000, 1, &message);
+    a.handle_message(T + 5_000, 1, &message);
     assert!(a.up(1));
 }
 
@@ -129,7 +129,7 @@
             let due: Vec<(u64, usize, usize, Vec<u8>)> = due;
             for (_, from, to, message) in due {
                 if let Some(tier) = &mut running_nodes[to] {
-                    tier.heard(now, from, &message);
+                    tier.handle_message(now, from, &message);
                     assert!(tier.epoch() >= epochs[to], "an epoch fell");
                     epochs[to] = tier.epoch();
                 }
@@ -154,7 +154,7 @@
     let unknown_node = [&MAGIC[..], &9u16.to_le_bytes(), &T.to_le_bytes(), &[0]].concat();
     for bytes in [&[][..], b"MPT", b"MPT1x", &[0xff; 200], &far_ahead, &unknown_node] {
         for from in [0, 1, 2, 7] {
-            tier.heard(T, from, bytes);
+            tier.handle_message(T, from, bytes);
         }
     }
     assert_eq!((tier.epoch(), tier.ranges()), before);
--- a/crates/mothpier-slots/src/view/tests.rs
+++ b/crates/mothpier-slots/src/view/tests.rs
@@ -74,9 +74,9 @@
     assert!(epoch(&info("cluster_state:ok\r\n")).is_err());
     assert!(epoch(&info("cluster_current_epoch:-1\r\n")).is_err());
     let unknown = BytesFrame::Error("ERR unknown command 'CLUSTER'".into());
-    assert_eq!(epoch(&unknown), Err(Unreadable::Unknown));
+    assert_eq!(epoch(&unknown), Err(ViewError::UnknownCommand));
     let disabled = BytesFrame::Error("ERR This instance has cluster support disabled".into());
-    assert!(matches!(epoch(&disabled), Err(Unreadable::Error(_))));
+    assert!(matches!(epoch(&disabled), Err(ViewError::Error(_))));
 }
 
 #[test]
@@ -103,7 +103,7 @@
         "[ [ slots [ 0 1 ] nodes [ [ ip 10.0.0.1 role master ] ] ] ]",
         "[ [ slots [ 0 1 ] nodes [ [ port 1 ip 10.0.0.1 role master ] [ port 2 ip 10.0.0.1 role master ] ] ] ]",
     ] {
-        assert!(matches!(shards(&frame(malformed)), Err(Unreadable::Malformed(_))), "{malformed}");
+        assert!(matches!(shards(&frame(malformed)), Err(ViewError::Malformed(_))), "{malformed}");
     }
 }
 
--- a/crates/mothpier-world/src/capacity/merge.rs
+++ b/crates/mothpier-world/src/capacity/merge.rs
@@ -13,22 +13,22 @@
 pub fn measure(servers: usize) -> Result<Measured, String> {
     let mut measured = Measured::new([("servers", servers as f64)]);
     let lines: Vec<ServerRecord> = members(servers).into_iter().map(line).collect();
-    let settings = Settings { rumours: Some(gossip::Settings::default()), ..Settings::default() };
+    let settings = Settings { gossip: Some(gossip::Settings::default()), ..Settings::default() };
     let mut sources = Sources::new(settings, 1, 0);
     let mut now = 1;
-    sources.list(now, true, lines.clone());
+    sources.update_list(now, true, lines.clone());
     sources.changes(now);
     let change = process::each_us(|i| {
         now += 1_000;
         let phase = if i.is_multiple_of(2) { Phase::Draining } else { Phase::Ready };
         let changed = ServerRecord { phase, up_since_ms: now, ..lines[i / 2 % servers].clone() };
-        sources.list(now, false, vec![changed]);
+        sources.update_list(now, false, vec![changed]);
         sources.changes(now);
-        sources.tell(now);
+        sources.next_message(now);
     })?;
     let whole = process::each_us(|_| {
         now += 1_000;
-        sources.list(now, true, lines.clone());
+        sources.update_list(now, true, lines.clone());
         sources.changes(now);
     })?;
     measured.set("merge_of_one_change_us", change);
--- a/crates/mothpier-world/tests/drains.rs
+++ b/crates/mothpier-world/tests/drains.rs
@@ -125,7 +125,7 @@
     let mut config = config::parse(text.as_bytes(), &|_| None, Precedence::Environment).unwrap();
     config.sources = Some(Sources {
         membership: Settings {
-            like: ServerTemplate { locality: "a".into(), flavor: "m".into(), cell: 0 },
+            template: ServerTemplate { locality: "a".into(), flavor: "m".into(), cell: 0 },
             ..Settings::default()
         },
         dns: Some(mothpier_names::Settings {
@@ -135,7 +135,7 @@
             tier_per_s: 50.0,
             burst: 16.0,
             lifetimes: Lifetimes { floor: 50, ceiling: 200, ..Lifetimes::default() },
-            wait: 2_000,
+            timeout_ms: 2_000,
             ipv6: false,
             networks: vec!["127.0.0.0/8".parse().unwrap()],
         }),
--- a/crates/mothpier/src/admin_listener.rs
+++ b/crates/mothpier/src/admin_listener.rs
@@ -17,7 +17,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use mothpier_coordination::FencedAction;
-use mothpier_membership::admin_drain::MOST_ID;
+use mothpier_membership::admin_drain::MAX_ID_BYTES;
 use mothpier_net::{Listener, Net, Stream, Task};
 
 use crate::operations::{Call, Operations, Reply};
@@ -154,7 +154,7 @@
 /// Reads the server id in the body.
 async fn read_server_id(request: Request<Incoming>) -> Result<String, Box<Response<Full<Bytes>>>> {
     let bad_request = |why: &str| Box::new(text_response(StatusCode::BAD_REQUEST, format!("{why}\n")));
-    let body = Limited::new(request.into_body(), MOST_ID).collect().await;
+    let body = Limited::new(request.into_body(), MAX_ID_BYTES).collect().await;
     let body = body
         .map_err(|_| bad_request("the body is not an id: too long, or it did not come whole"))?
         .to_bytes();
--- a/crates/mothpier/src/config.rs
+++ b/crates/mothpier/src/config.rs
@@ -146,10 +146,10 @@
     fn default() -> Self {
         let budget = RefreshBudget::default();
         RefreshFile {
-            ask: budget.ask,
+            ask: budget.servers_per_round,
             tier_per_s: budget.tier_per_s,
             wait_ms: 500,
-            calm_s: budget.calm / 1000,
+            calm_s: budget.idle_interval_ms / 1000,
         }
     }
 }
@@ -211,9 +211,10 @@
     let path = env("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
     let text = std::fs::read(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
     let mut config = parse(&text, &env, precedence).map_err(|e| format!("{path}: {e}"))?;
-    config.apply_open_file_limit(mothpier_net::open_files())?;
+    config.apply_open_file_limit(mothpier_net::open_file_limit())?;
     if let Some(number) = env("ROUTER_ACCEPT_FD").filter(|_| precedence == Precedence::Environment) {
-        let listener = mothpier_net::inherited(&number).map_err(|e| format!("ROUTER_ACCEPT_FD: {e}"))?;
+        let listener =
+            mothpier_net::inherited_listener(&number).map_err(|e| format!("ROUTER_ACCEPT_FD: {e}"))?;
         config.inherited_listener = Some(listener);
         if let Some(directory) = env("TMPDIR") {
             match DirectoryStore::open(directory.as_ref()) {
@@ -279,7 +280,12 @@
     check_range("calm_s", calm_s as f64, 1.0, 86_400.0)?;
     Ok(Some(ServerPoolConfig {
         read_copies: file.read_copies,
-        budget: RefreshBudget { ask, tier_per_s, calm: calm_s * 1000, nodes: 1 },
+        budget: RefreshBudget {
+            servers_per_round: ask,
+            tier_per_s,
+            idle_interval_ms: calm_s * 1000,
+            nodes: 1,
+        },
         wait: Duration::from_millis(wait_ms),
     }))
 }
--- a/crates/mothpier/src/config/sidecar.rs
+++ b/crates/mothpier/src/config/sidecar.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use brassrouter::Shares;
+use brassrouter::OriginLimits;
 use brassrouter::settings::Site;
 use mothpier_net::UnixSocketSpec;
 use serde::Deserialize;
@@ -108,14 +108,15 @@
         let tier = self.upstream == Upstream::Tier;
         let settings = &mut site.policy;
         if self.origin_outstanding.is_some() || self.origin_per_s.is_some() {
-            settings.shares = Some(Shares {
-                origin_out: self.origin_outstanding.unwrap_or(f64::from(u32::MAX)),
-                origin_per_s: self.origin_per_s.unwrap_or(f64::INFINITY),
+            settings.origin_limits = Some(OriginLimits {
+                max_outstanding: self.origin_outstanding.unwrap_or(f64::from(u32::MAX)),
+                max_calls_per_s: self.origin_per_s.unwrap_or(f64::INFINITY),
             });
         }
-        settings.cold_rate = self.cold_sends_at.unwrap_or(settings.cold_rate);
+        settings.cold_rate_multiple = self.cold_sends_at.unwrap_or(settings.cold_rate_multiple);
         // The tier retries by itself; the sidecar repeats only requests that were never executed.
-        settings.retry_budget = if tier { 0.0 } else { self.retry_budget.unwrap_or(settings.retry_budget) };
+        settings.retry_budget_per_request =
+            if tier { 0.0 } else { self.retry_budget.unwrap_or(settings.retry_budget_per_request) };
         Ok(Sidecar {
             binding: Binding { app: self.app, tenant: self.tenant, classes, tier },
             connections: self.connections,
--- a/crates/mothpier/src/config/sources.rs
+++ b/crates/mothpier/src/config/sources.rs
@@ -37,7 +37,7 @@
 }
 
 fn gone_s() -> u64 {
-    Settings::default().gone_ms / 1000
+    Settings::default().tombstone_ms / 1000
 }
 
 #[derive(Deserialize)]
@@ -121,7 +121,7 @@
 
 impl Default for RumoursFile {
     fn default() -> Self {
-        let gossip::Settings { trust_ms, share, tells } = gossip::Settings::default();
+        let gossip::Settings { trust_ms, max_share: share, sends: tells } = gossip::Settings::default();
         RumoursFile { trust_s: trust_ms / 1000, share, tells }
     }
 }
@@ -165,16 +165,20 @@
             check_range("rumours.trust_s", trust_s as f64, 1.0, 3_600.0)?;
             check_range("rumours.share", share, 0.0, 0.5)?;
             check_range("rumours.tells", f64::from(tells), 1.0, 10.0)?;
-            Some(gossip::Settings { trust_ms: trust_s * 1000, share, tells })
+            Some(gossip::Settings { trust_ms: trust_s * 1000, max_share: share, sends: tells })
         }
         None => None,
     };
     let origin = site.policy.origin_kind.and_then(|kind| site.kinds.get(usize::from(kind)).cloned());
     let membership = Settings {
-        gone_ms: file.gone_s * 1000,
-        doubt: ShrinkGuard { share: doubt.share, confirm: doubt.confirm, hold_ms: doubt.hold_s * 1000 },
-        rumours,
-        like,
+        tombstone_ms: file.gone_s * 1000,
+        shrink_guard: ShrinkGuard {
+            share: doubt.share,
+            confirm: doubt.confirm,
+            hold_ms: doubt.hold_s * 1000,
+        },
+        gossip: rumours,
+        template: like,
         origin,
         fixed,
     };
@@ -205,7 +209,10 @@
     };
     let like = server_template(like, site)?;
     let origin = site.policy.origin_kind.and_then(|kind| site.kinds.get(usize::from(kind)).cloned());
-    Ok(Some(Sources { membership: Settings { like, origin, fixed, ..Settings::default() }, dns: None }))
+    Ok(Some(Sources {
+        membership: Settings { template: like, origin, fixed, ..Settings::default() },
+        dns: None,
+    }))
 }
 
 fn server_template(like: LikeFile, site: &Site) -> Result<ServerTemplate, String> {
@@ -253,7 +260,7 @@
             stale: dns.stale_s * 1000,
             ..Lifetimes::default()
         },
-        wait: dns.wait_ms,
+        timeout_ms: dns.wait_ms,
         ipv6: dns.ipv6,
         networks,
     };
--- a/crates/mothpier/src/config/sources/tests.rs
+++ b/crates/mothpier/src/config/sources/tests.rs
@@ -11,14 +11,14 @@
     assert_eq!(none.dns, None);
     assert_eq!(none.membership, Settings { origin: Some("origin".into()), ..Settings::default() });
     let rumours = parse(include_bytes!("../../../../../deploy/rumours.json"), &site).unwrap();
-    assert!(rumours.dns.is_none() && rumours.membership.rumours.is_some());
+    assert!(rumours.dns.is_none() && rumours.membership.gossip.is_some());
     let deployed = include_bytes!("../../../../../deploy/sources.json");
     let full_box_site =
         brassrouter::settings::read(SITE.replace("\"m\"", "\"full-box\"").as_bytes()).unwrap();
     let sources = parse(deployed, &full_box_site).unwrap();
     let dns = sources.dns.unwrap();
     assert_eq!((dns.nodes, dns.service.to_string()), (4, "_profile._tcp.makati.example.org.".to_owned()));
-    assert!(sources.membership.rumours.is_some() && sources.membership.like.flavor == "full-box");
+    assert!(sources.membership.gossip.is_some() && sources.membership.template.flavor == "full-box");
     let dns = |more: &str| {
         format!(
             r#"{{"like":{{"zone":"a","kind":"m"}},"dns":{{"service":"_p._tcp.x","servers":["10.0.0.1:53"]{more}}}}}"#
--- a/crates/mothpier/src/config/tests.rs
+++ b/crates/mothpier/src/config/tests.rs
@@ -9,7 +9,10 @@
     assert!(!default.read_copies && default.wait == Duration::from_millis(500));
     let custom = r#"{"dialect":"cluster","read_copies":true,"refresh":{"ask":1,"tier_per_s":0.5,"wait_ms":50,"calm_s":9}}"#;
     let custom = read(custom).unwrap().unwrap();
-    assert_eq!((custom.budget.ask, custom.budget.calm, custom.budget.tier_per_s), (1, 9_000, 0.5));
+    assert_eq!(
+        (custom.budget.servers_per_round, custom.budget.idle_interval_ms, custom.budget.tier_per_s),
+        (1, 9_000, 0.5)
+    );
     assert!(custom.read_copies && custom.wait == Duration::from_millis(50));
     for (text, expected) in [
         (r#"{"dialect":"clustered"}"#, r#"dialect: "clustered" is neither "plain" nor "cluster""#),
--- a/crates/mothpier/src/descriptors.rs
+++ b/crates/mothpier/src/descriptors.rs
@@ -27,7 +27,7 @@
 const MIN_SHARED: usize = 4;
 
 // The configuration checks use the same number.
-const _: () = assert!(RESERVE as u64 == mothpier_config::OWN_SOCKETS);
+const _: () = assert!(RESERVE as u64 == mothpier_config::RESERVED_DESCRIPTORS);
 
 /// The division of one process's descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,10 @@
             (uses_dns, sources::MAX_DNS_DESCRIPTORS),
             (config.operator.is_some(), admin_listener::DESCRIPTORS),
             (config.coordination.is_some(), COORDINATORS),
-            (config.server_pool.is_some(), config.server_pool.map_or(0, |pool| pool.budget.ask)),
+            (
+                config.server_pool.is_some(),
+                config.server_pool.map_or(0, |pool| pool.budget.servers_per_round),
+            ),
         ];
         let optional_total: usize = optional.iter().filter(|(used, _)| *used).map(|(_, count)| count).sum();
         Self::divide(config.sockets, RESERVE + optional_total)
--- a/crates/mothpier/src/dns.rs
+++ b/crates/mothpier/src/dns.rs
@@ -44,10 +44,10 @@
     let mut last_sent: Option<ServiceView> = None;
     let mut is_failing = false;
     loop {
-        for query in resolver.asks(now_ms(&clock)) {
+        for query in resolver.due_queries(now_ms(&clock)) {
             let (query_net, result_sender) = (net.clone(), result_sender.clone());
             net.spawn(async move {
-                let wait = Duration::from_millis(query.wait);
+                let wait = Duration::from_millis(query.timeout_ms);
                 let answer = match query.transport {
                     Transport::Udp => query_net.timeout(wait, udp(&query_net, &query)).await,
                     Transport::Tcp => query_net.timeout(wait, tcp(&query_net, &query)).await,
@@ -66,15 +66,15 @@
         let pause = Duration::from_millis(resolver.due(now).saturating_sub(now));
         let answered = resolver.counts().answered;
         match net.timeout(pause, results.recv()).await {
-            Some(Some((ticket, Ok(bytes)))) => resolver.heard(now_ms(&clock), ticket, &bytes),
-            Some(Some((ticket, Err(failure)))) => resolver.failed(now_ms(&clock), ticket, failure),
+            Some(Some((ticket, Ok(bytes)))) => resolver.handle_answer(now_ms(&clock), ticket, &bytes),
+            Some(Some((ticket, Err(failure)))) => resolver.handle_failure(now_ms(&clock), ticket, failure),
             Some(None) => return,
             None => {}
         }
         if resolver.counts().answered > answered {
             is_failing = false;
         }
-        if let Some(error) = resolver.trouble().filter(|_| !is_failing) {
+        if let Some(error) = resolver.take_last_error().filter(|_| !is_failing) {
             is_failing = true;
             net.log(format_args!("dns: {error}; retrying until it answers"));
         }
@@ -99,7 +99,7 @@
             bytes[..2].copy_from_slice(&query.question.id.to_be_bytes());
             return Ok(bytes);
         }
-        if from == query.server && query.question.matches(&bytes) != Match::Not {
+        if from == query.server && query.question.matches(&bytes) != Match::NoMatch {
             return Ok(bytes);
         }
     }
@@ -117,5 +117,5 @@
     stream.read_exact(&mut length).await.map_err(broken)?;
     let mut bytes = vec![0; usize::from(u16::from_be_bytes(length))];
     stream.read_exact(&mut bytes).await.map_err(broken)?;
-    if query.question.matches(&bytes) == Match::Not { Err(Failure::Broken) } else { Ok(bytes) }
+    if query.question.matches(&bytes) == Match::NoMatch { Err(Failure::Broken) } else { Ok(bytes) }
 }
--- a/crates/mothpier/src/main.rs
+++ b/crates/mothpier/src/main.rs
@@ -43,7 +43,7 @@
 
 async fn node(config: Config) -> Result<(), String> {
     // Installed before anything else: an unhandled signal would end the process.
-    let mut signals = Signals::take().map_err(|e| format!("cannot install signal handlers: {e}"))?;
+    let mut signals = Signals::install().map_err(|e| format!("cannot install signal handlers: {e}"))?;
     let (control, commands) = mpsc::channel(8);
     Tokio.spawn(async move {
         loop {
--- a/crates/mothpier/src/membership.rs
+++ b/crates/mothpier/src/membership.rs
@@ -18,11 +18,10 @@
 impl Membership {
     pub fn new(mut settings: Settings, seed: u64, now: u64) -> Self {
         if mutation_active(Mutation::StaleRecord) {
-            settings.gone_ms = 0;
+            settings.tombstone_ms = 0;
         }
-        if let Some(rumours) = settings.rumours.as_mut().filter(|_| mutation_active(Mutation::EndlessRumour))
-        {
-            rumours.tells = u32::MAX;
+        if let Some(rumours) = settings.gossip.as_mut().filter(|_| mutation_active(Mutation::EndlessRumour)) {
+            rumours.sends = u32::MAX;
         }
         Membership(Rc::new(RefCell::new(Sources::new(settings, seed, now))))
     }
@@ -30,21 +29,21 @@
     /// Applies a server list, either complete or with changes only.
     pub fn list(&self, now: u64, list: ServerList) {
         let records = list.members.into_iter().map(to_record).collect();
-        self.0.borrow_mut().list(now, list.complete, records);
+        self.0.borrow_mut().update_list(now, list.complete, records);
     }
 
     /// Records that the server list cannot be reached.
     pub fn mark_list_unreachable(&self) {
-        self.0.borrow_mut().list_out();
+        self.0.borrow_mut().mark_list_unreachable();
     }
 
     /// Applies the resolver's view of the service.
     pub fn apply_dns(&self, now: u64, view: &ServiceView) {
         let mut sources = self.0.borrow_mut();
-        if view.word == DnsTrust::Nothing && mutation_active(Mutation::EmptyAnswer) {
-            sources.list(now, true, Vec::new());
+        if view.trust == DnsTrust::Empty && mutation_active(Mutation::EmptyAnswer) {
+            sources.update_list(now, true, Vec::new());
         }
-        sources.names(now, view.word, &view.named, view.pending == 0, view.answers);
+        sources.update_dns(now, view.trust, &view.servers, view.pending == 0, view.answers);
     }
 
     /// Returns whether a message from another node is a gossip message.
@@ -54,24 +53,24 @@
 
     /// Applies a gossip message from another node.
     pub fn receive(&self, now: u64, bytes: &[u8]) {
-        self.0.borrow_mut().heard(now, bytes);
+        self.0.borrow_mut().receive(now, bytes);
     }
 
     /// Returns the next gossip message to send, if one is due.
     pub fn next_message(&self, now: u64) -> Option<Vec<u8>> {
-        self.0.borrow_mut().tell(now)
+        self.0.borrow_mut().next_message(now)
     }
 
     /// Returns the latest time of the next look at the sources, if one is needed.
     pub fn next_due(&self, now: u64) -> Option<u64> {
-        self.0.borrow().due(now)
+        self.0.borrow().next_due(now)
     }
 
     /// Returns the changes of the merged view as a partial server list, and the ids that were replaced (old,
     /// new).
     pub fn changes(&self, now: u64) -> (ServerList, Vec<(String, String)>) {
         let changes = self.0.borrow_mut().changes(now);
-        let members = changes.lines.into_iter().map(to_member).collect();
+        let members = changes.records.into_iter().map(to_member).collect();
         (ServerList { revision: 0, complete: false, members }, changes.renamed)
     }
 
--- a/crates/mothpier/src/node.rs
+++ b/crates/mothpier/src/node.rs
@@ -462,7 +462,7 @@
         Status::Served => "served",
         Status::Miss => "miss",
         Status::Error => "error",
-        Status::Full => "full",
+        Status::Rejected => "full",
         Status::TimedOut => "timed_out",
         Status::ConnectFailed => "connect_failed",
         Status::Reset => "reset",
--- a/crates/mothpier/src/node/attempts.rs
+++ b/crates/mothpier/src/node/attempts.rs
@@ -227,7 +227,7 @@
                 }
                 self.end_attempt(
                     attempt,
-                    if busy { Status::Full } else { Status::Error },
+                    if busy { Status::Rejected } else { Status::Error },
                     CacheLookup::None,
                     load,
                     None,
@@ -281,17 +281,17 @@
             && matches!(status, Status::Served | Status::Miss)
             && let Some(open) = pending.attempt.and_then(|(request, _)| self.open_requests.get(&request))
             && let Some(slot) = open.slot.filter(|_| open.moved_to == Some(pending.server))
-            && let Some(assignment) = pool.moved(slot, pending.server)
+            && let Some(assignment) = pool.record_move(slot, pending.server)
         {
             let ranges = slot_ranges(vec![assignment]);
-            self.events.push_back(Event::SlotMap { whole: false, ranges });
+            self.events.push_back(Event::SlotMap { complete: false, ranges });
         }
         let (server, took) = (pending.server, self.net.since(pending.sent_at).as_micros() as Micros);
         let Some((request, attempt)) = pending.attempt else {
             return self.events.push_back(Event::ProbeFinished {
                 server,
                 ok: status == Status::Served,
-                took,
+                elapsed: took,
                 load,
             });
         };
--- a/crates/mothpier/src/node/cluster.rs
+++ b/crates/mothpier/src/node/cluster.rs
@@ -28,8 +28,9 @@
         let mut open = self.open_requests.get_mut(&request);
         let slot = open.as_ref().and_then(|o| o.slot);
         let servers = &self.parts.servers;
-        let meaning = pool
-            .said(self.clock.now() / 1000, error_line, slot, from, &|address| servers.server_at(address))?;
+        let meaning = pool.classify_error(self.clock.now() / 1000, error_line, slot, from, &|address| {
+            servers.server_at(address)
+        })?;
         let status = match &meaning {
             ErrorMeaning::Redirected { to, ask } => {
                 if let Some(open) = &mut open {
@@ -37,7 +38,7 @@
                 }
                 Status::Redirected { to: *to, ask: *ask }
             }
-            ErrorMeaning::TurnedAway(_) => Status::Full,
+            ErrorMeaning::Rejected(_) => Status::Rejected,
             // A malformed redirect does not prove that the command did not run.
             ErrorMeaning::Unreadable(_) | ErrorMeaning::OtherSlot(_) => Status::Error,
         };
@@ -47,7 +48,7 @@
             ErrorMeaning::Redirected { to: None, .. } => {
                 Some("no listed server accepts requests at that address".into())
             }
-            ErrorMeaning::Redirected { .. } | ErrorMeaning::TurnedAway(_) => None,
+            ErrorMeaning::Redirected { .. } | ErrorMeaning::Rejected(_) => None,
         };
         let now = self.net.now();
         if let Some(problem) =
@@ -92,7 +93,7 @@
         self.slot_map_refresh_at = None;
         let Some((pool, fetcher)) = &mut self.parts.cluster else { return };
         let servers = &self.parts.servers;
-        for server in pool.begin(self.clock.now() / 1000, &servers.ready()) {
+        for server in pool.start_round(self.clock.now() / 1000, &servers.ready()) {
             if let Some(address) = servers.address(server) {
                 fetcher.fetch(server, address);
             }
@@ -114,13 +115,13 @@
         let servers = &self.parts.servers;
         let by_address = servers.by_address();
         let lookup = |address: SocketAddr| by_address.get(&address).copied();
-        let merged = pool.answered(self.clock.now() / 1000, server, server_view, &lookup);
+        let merged = pool.record_answer(self.clock.now() / 1000, server, server_view, &lookup);
         if let Some(merged) = merged {
             if merged.stale {
                 self.net.log("slot map refresh returned no map, or an older one; keeping the current map");
             } else {
                 let ranges = slot_ranges(pool.ranges());
-                self.events.push_back(Event::SlotMap { whole: true, ranges });
+                self.events.push_back(Event::SlotMap { complete: true, ranges });
             }
         }
         self.schedule_slot_map_refresh();
@@ -129,5 +130,5 @@
 
 /// Converts slot assignments to the form of the policy.
 pub(super) fn slot_ranges(assignments: Vec<SlotAssignment>) -> Vec<SlotRange> {
-    assignments.into_iter().map(|a| SlotRange { first: a.first, last: a.last, servers: a.boxes }).collect()
+    assignments.into_iter().map(|a| SlotRange { first: a.first, last: a.last, servers: a.servers }).collect()
 }
--- a/crates/mothpier/src/node/lists.rs
+++ b/crates/mothpier/src/node/lists.rs
@@ -76,7 +76,7 @@
                 self.apply_records(records);
             }
             AdminCommand::FleetDrained { drained, reply } => {
-                let records = self.admin_drains.agree(self.clock.now() / 1000, &drained);
+                let records = self.admin_drains.set_fleet_drained(self.clock.now() / 1000, &drained);
                 self.apply_records(records);
                 let _ = reply.send(());
             }
@@ -139,9 +139,9 @@
         let records = list.members.into_iter().map(membership::to_record).collect();
         if is_full && mutation_active(Mutation::HandForgotten) {
             let previous = std::mem::take(&mut self.admin_drains);
-            self.admin_drains = previous.emptied();
+            self.admin_drains = previous.without_drains();
         }
-        let records = self.admin_drains.list(is_full, records);
+        let records = self.admin_drains.update(is_full, records);
         self.install_list(
             ServerList { members: records.into_iter().map(membership::to_member).collect(), ..list },
             kind,
@@ -186,10 +186,10 @@
         self.events.push_back(Event::ServerList { kind, servers });
         if let Some((pool, _)) = &mut self.parts.cluster
             && let by_address = self.parts.servers.by_address()
-            && pool.relist(&|address| by_address.get(&address).copied())
+            && pool.refresh_lookup(&|address| by_address.get(&address).copied())
         {
             let ranges = slot_ranges(pool.ranges());
-            self.events.push_back(Event::SlotMap { whole: true, ranges });
+            self.events.push_back(Event::SlotMap { complete: true, ranges });
         }
         let cancelled = match &self.parts.cluster {
             Some((_, fetcher)) => fetcher.cancel_unready(&|id| self.parts.servers.is_ready(id)),
--- a/crates/mothpier/src/operations.rs
+++ b/crates/mothpier/src/operations.rs
@@ -156,8 +156,10 @@
                 }
                 Reply::Done(format!("{id} {what}\n{kept}"))
             }
-            Err(why @ AdminDrainError::Unknown) => Reply::NotFound(format!("{id:?}: {}\n", why.name())),
-            Err(why) => Reply::Unavailable(format!("{id:?}: {}\n", why.name())),
+            Err(why @ AdminDrainError::Unknown) => {
+                Reply::NotFound(format!("{id:?}: {}\n", why.description()))
+            }
+            Err(why) => Reply::Unavailable(format!("{id:?}: {}\n", why.description())),
         }
     }
 
--- a/crates/mothpier/src/origin.rs
+++ b/crates/mothpier/src/origin.rs
@@ -342,8 +342,8 @@
     let load = header("X-Load");
     let status = match response.status().as_u16() {
         200 => Status::Served,
-        500 if mutation_active(Mutation::ErrorNeverRan) => Status::Full,
-        503 | 504 if header("X-Not-Run") == "1" => Status::Full,
+        500 if mutation_active(Mutation::ErrorNeverRan) => Status::Rejected,
+        503 | 504 if header("X-Not-Run") == "1" => Status::Rejected,
         _ => Status::Error,
     };
     let body = response.into_body();
--- a/crates/mothpier/src/peers.rs
+++ b/crates/mothpier/src/peers.rs
@@ -52,7 +52,7 @@
                         continue;
                     }
                     let unix_ms = peer_net.unix_time().as_millis() as u64;
-                    tier.borrow_mut().heard(unix_ms, from, &buffer[..length.min(MAX_MESSAGE_BYTES)]);
+                    tier.borrow_mut().handle_message(unix_ms, from, &buffer[..length.min(MAX_MESSAGE_BYTES)]);
                 } else if length <= MAX_MESSAGE_BYTES {
                     let bytes = buffer[..length].to_vec();
                     // Dropped if the queue is full: senders must tolerate the loss of datagrams anyway.
--- a/crates/mothpier/src/slot_map_fetcher.rs
+++ b/crates/mothpier/src/slot_map_fetcher.rs
@@ -10,7 +10,7 @@
 use brassrouter::ServerId;
 use bytes::BytesMut;
 use mothpier_net::{Net, ReadHalf, Stream, Task};
-use mothpier_slots::view::{self, Unreadable, View};
+use mothpier_slots::view::{self, View, ViewError};
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::mpsc;
@@ -87,7 +87,7 @@
     let epoch = view::epoch(&info).map_err(|e| e.to_string())?;
     let ranges = match view::shards(&shards) {
         // Servers older than version 7 do not know `CLUSTER SHARDS`.
-        Err(Unreadable::Unknown) => {
+        Err(ViewError::UnknownCommand) => {
             writer.write_all(&command_line("SLOTS")).await.map_err(|e| e.to_string())?;
             view::slots(&read_answer(&reader, &mut buffer).await?)
         }
--- a/crates/mothpierctl/src/main.rs
+++ b/crates/mothpierctl/src/main.rs
@@ -216,7 +216,7 @@
 }
 
 fn explain(name: Option<&str>, out: show::Out) -> Result<u8, String> {
-    let one = |c: &Code| serde_json::json!({"code": c, "title": c.title(), "in_service": c.in_service(), "mend": c.fix()});
+    let one = |c: &Code| serde_json::json!({"code": c, "title": c.title(), "in_service": c.consequence(), "mend": c.fix()});
     let Some(name) = name else {
         if out.json {
             return print(&format!("{:#}\n", serde_json::Value::from_iter(code::ALL.iter().map(one))));
@@ -230,5 +230,10 @@
     if out.json {
         return print(&format!("{:#}\n", one(&code)));
     }
-    print(&format!("{code}: {}\n\nIn service: {}\n\nMend: {}\n", code.title(), code.in_service(), code.fix()))
+    print(&format!(
+        "{code}: {}\n\nIn service: {}\n\nMend: {}\n",
+        code.title(),
+        code.consequence(),
+        code.fix()
+    ))
 }
--- a/crates/mothpierctl/src/show.rs
+++ b/crates/mothpierctl/src/show.rs
@@ -27,7 +27,7 @@
         .with_code(f.code)
         .with_message(f.code.title())
         .with_label(Label::new((file, span)).with_message(&f.problem))
-        .with_note(f.code.in_service())
+        .with_note(f.code.consequence())
         .with_help(&f.fix);
     for (span, problem) in &f.related {
         report.add_label(Label::new((file, within(text, span))).with_message(problem));
@@ -63,6 +63,6 @@
         .collect();
     json!({
         "file": file, "code": f.code, "severity": f.severity, "line": line, "column": column,
-        "title": f.code.title(), "what": f.problem, "in_service": f.code.in_service(), "mend": f.fix, "also": related,
+        "title": f.code.title(), "what": f.problem, "in_service": f.code.consequence(), "mend": f.fix, "also": related,
     })
 }
--- a/src/bin/brassrouter-drill/codec.rs
+++ b/src/bin/brassrouter-drill/codec.rs
@@ -90,7 +90,7 @@
         }
         6 => brassrouter::Event::ProbeFinished {
             ok: u16_at(record, 3) == 200,
-            took: u32_at(record, 5).into(),
+            elapsed: u32_at(record, 5).into(),
             server: u32_at(record, 9),
             load: load(record, 13),
         },
@@ -142,7 +142,7 @@
         204 => Status::Miss,
         408 => Status::TimedOut,
         409 => Status::NotSent,
-        429 => Status::Full,
+        429 => Status::Rejected,
         444 => Status::Cancelled,
         502 => Status::Error,
         520 => Status::Reset,
--- a/src/bin/brassrouter-drill/codec/tests.rs
+++ b/src/bin/brassrouter-drill/codec/tests.rs
@@ -86,7 +86,7 @@
         request: 9,
         attempt: 1,
         server: 6,
-        status: Status::Full,
+        status: Status::Rejected,
         request_finished: true,
         lookup: CacheLookup::MissFetchPending,
         elapsed: 40,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -58,23 +58,23 @@
     pub drain_close_limit: Option<Micros>,
     /// What the origin accepts from all balancers together, if that is stated; otherwise each balancer limits
     /// itself.
-    pub shares: Option<Shares>,
+    pub origin_limits: Option<OriginLimits>,
     /// Rate of attempts at a cold server, as a multiple of a warm server's rate times the share of its
     /// capacity that the cold server has so far.
-    pub cold_rate: f64,
+    pub cold_rate_multiple: f64,
     /// What each request adds to the retry budget; with 0, requests are retried only after attempts that cost
     /// the server no work.
-    pub retry_budget: f64,
+    pub retry_budget_per_request: f64,
 }
 
 /// What the origin accepts from all balancers together. One balancer's share may be less than one call;
 /// balancers then take turns, which follow from their indexes and the shared clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Shares {
+pub struct OriginLimits {
     /// Maximum number of outstanding calls.
-    pub origin_out: f64,
+    pub max_outstanding: f64,
     /// Maximum calls per second; infinite if no rate is stated.
-    pub origin_per_s: f64,
+    pub max_calls_per_s: f64,
 }
 
 impl Default for Settings {
@@ -100,9 +100,9 @@
             crash_load_multiple: 3.0,
             crash_after: 2_000_000,
             drain_close_limit: None,
-            shares: None,
-            cold_rate: 1.5,
-            retry_budget: 0.2,
+            origin_limits: None,
+            cold_rate_multiple: 1.5,
+            retry_budget_per_request: 0.2,
         }
     }
 }
@@ -309,7 +309,7 @@
     /// The server reported an error; the request may have run.
     Error,
     /// Rejected before it was processed; it did not run.
-    Full,
+    Rejected,
     /// Not answered in time; it may have run or may still be running.
     TimedOut,
     /// No connection was made; it did not run.
@@ -335,7 +335,11 @@
     pub fn proves_not_run(self) -> bool {
         matches!(
             self,
-            Status::Miss | Status::Full | Status::ConnectFailed | Status::NotSent | Status::Redirected { .. }
+            Status::Miss
+                | Status::Rejected
+                | Status::ConnectFailed
+                | Status::NotSent
+                | Status::Redirected { .. }
         )
     }
 }
@@ -393,7 +397,7 @@
     SlotMap {
         /// Whether the map is complete, so that slots it does not name have no holder; otherwise they are
         /// unchanged.
-        whole: bool,
+        complete: bool,
         /// Ranges in ascending order, without overlap.
         ranges: Vec<SlotRange>,
     },
@@ -419,7 +423,7 @@
         /// Whether its answer was good.
         ok: bool,
         /// Time from sending until this outcome.
-        took: Micros,
+        elapsed: Micros,
         /// The server's load report, if the answer carried one.
         load: Load,
     },
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -235,8 +235,8 @@
         let target_latencies = settings.classes.iter().map(|c| c.target_latency);
         let quotas: f64 = settings.tenants.iter().map(|t| t.quota_per_s).sum();
         let quota_share = quotas / f64::from(settings.balancers.max(1));
-        let max_limit = match settings.shares {
-            Some(limits) => limits.origin_out / f64::from(settings.balancers.max(1)),
+        let max_limit = match settings.origin_limits {
+            Some(limits) => limits.max_outstanding / f64::from(settings.balancers.max(1)),
             None => (GATE_MAX_OUTSTANDING_TOTAL / f64::from(settings.balancers.max(1)))
                 .clamp(2.0, GATE_MAX_OUTSTANDING),
         };
@@ -258,7 +258,7 @@
             quota_multiple: QUOTA_MULTIPLE_START,
             answer_deadline: Micros::MAX,
             process_share: 1.0,
-            retry_budget: settings.retry_budget * RETRY_BUDGET_DEPTH,
+            retry_budget: settings.retry_budget_per_request * RETRY_BUDGET_DEPTH,
             // Calls made before a restart of this balancer may still be running, so the gate opens gradually.
             gate: OriginGate {
                 limit: if max_limit < 1.0 { max_limit } else { max_limit / 2.0 },
@@ -283,7 +283,7 @@
         match event {
             Event::ServerList { kind: ListKind::Failed, .. } => self.on_discovery_failure(out),
             Event::ServerList { kind, servers } => self.on_server_list(kind, servers, out),
-            Event::SlotMap { whole, ranges } => self.slot_holders.update(whole, ranges),
+            Event::SlotMap { complete: whole, ranges } => self.slot_holders.update(whole, ranges),
             Event::ProcessShare(share) => self.process_share = share.clamp(0.01, 1.0),
             Event::AnswerDeadline(at) => self.on_answer_deadline(at),
             Event::Request(request) => self.on_request(request, out),
@@ -357,7 +357,7 @@
             return self.finish(incoming.id, out);
         }
         self.admitted.count();
-        let refill = self.settings.retry_budget;
+        let refill = self.settings.retry_budget_per_request;
         self.retry_budget = (self.retry_budget + refill).min(refill * RETRY_BUDGET_DEPTH);
         self.schedule_after(deadline - self.now, TimerTask::Deadline(incoming.id));
         self.advance(incoming.id, out);
@@ -627,13 +627,14 @@
     /// Returns the level and the depth of the token bucket that limits attempts at a cold server, given its
     /// warm-up state and this balancer's traffic.
     fn cold_bucket(&self, pending: &PendingRequest, state: &ServerState, traffic: f64) -> (f64, f64) {
-        let weighted_rate = self.settings.cold_rate * self.warm_share(state) * traffic * self.weight(state);
+        let weighted_rate =
+            self.settings.cold_rate_multiple * self.warm_share(state) * traffic * self.weight(state);
         let rate = weighted_rate / self.ready.weight(pending.class).max(0.01) / 1e6;
         let level = state.cold_bucket_level - rate * (self.now - state.last_used) as f64;
         let (span, depth) = (self.settings.crash_after / 2, rate * self.settings.crash_after as f64 / 2.0);
         let min_depth = self.min_cold_depth(2.0 * depth, pending.popularity > 0.0);
         // With hundreds of balancers, each one's share may be less than one attempt.
-        let depth = match self.settings.shares {
+        let depth = match self.settings.origin_limits {
             Some(_) if depth < 1.0 => self.calls_this_turn(depth, span, u64::from(state.entry.id)),
             _ => depth.max(min_depth * self.process_share),
         };
@@ -675,7 +676,7 @@
 
     /// Whether the gate admits one more call: within the limits on outstanding calls and on calls per window.
     fn gate_open(&mut self, call: CallKind) -> bool {
-        if let Some(limits) = self.settings.shares {
+        if let Some(limits) = self.settings.origin_limits {
             return self.shared_gate_open(call, limits);
         }
         let rate = if self.gate.quota_share > 0.0 { self.gate.quota_share } else { self.admitted.per_s };
@@ -696,11 +697,11 @@
     /// The gate where the origin's limits are stated for all balancers together: this balancer takes turns
     /// for its share of the outstanding calls and accumulates its share of the rate. A call may last into the
     /// next turn and take room from that turn's callers, so the longer calls take, the fewer may start.
-    fn shared_gate_open(&mut self, call: CallKind, limits: Shares) -> bool {
+    fn shared_gate_open(&mut self, call: CallKind, limits: OriginLimits) -> bool {
         let balancers = f64::from(self.settings.balancers.max(1));
         let span = ((self.min_target_latency as f64 * TURN_SPAN) as Micros).max(1);
         let start_share = span as f64 / (span as f64 + self.gate.recent_latency);
-        let per_s = limits.origin_per_s / balancers * self.process_share;
+        let per_s = limits.max_calls_per_s / balancers * self.process_share;
         if per_s.is_finite() {
             self.gate.earn(self.now, per_s, (per_s * span as f64 / 1e6).max(MAX_SAVED_CALLS));
         } else {
@@ -809,7 +810,7 @@
         if let Status::Redirected { to, ask } = result.status {
             return self.on_redirect(result.request, sent_attempt.call, to, ask, out);
         }
-        if sent_attempt.call != CallKind::Cache && result.status == Status::Full {
+        if sent_attempt.call != CallKind::Cache && result.status == Status::Rejected {
             return self.postpone(result.request, out);
         }
         // A miss or a failed connection cost the server no work, and a cancelled attempt took its retry when
@@ -818,7 +819,7 @@
             result.status,
             Status::Miss | Status::ConnectFailed | Status::NotSent | Status::Cancelled
         );
-        if !costs_no_retry && !self.take_retry(class, result.status == Status::Full) {
+        if !costs_no_retry && !self.take_retry(class, result.status == Status::Rejected) {
             return self.finish(result.request, out);
         }
         self.advance(result.request, out);
@@ -854,7 +855,7 @@
         if let Some(busy) = result.load.value(&self.settings.load_fields, LoadField::Busy) {
             self.kinds.entry(state.entry.kind).or_default().busy.add(busy, 1.0);
         }
-        if matches!(result.status, Status::Served | Status::Miss | Status::Full) {
+        if matches!(result.status, Status::Served | Status::Miss | Status::Rejected) {
             state.answer_count = 1.0 + state.recent_answers(self.now, sent_attempt.target_latency);
             state.last_answer = self.now;
         }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -19,7 +19,7 @@
 /// Returns a node with four servers, of which `holders` (the owner, then its replicas) hold slots 0 to 99.
 fn node_with_slots(settings: Settings, holders: &[ServerId]) -> Node {
     let mut node = Node::new(settings, 4);
-    node.deliver(Event::SlotMap { whole: true, ranges: vec![range(0, 99, holders)] });
+    node.deliver(Event::SlotMap { complete: true, ranges: vec![range(0, 99, holders)] });
     node
 }
 
@@ -52,11 +52,14 @@
         node.outcome(100 + key, 0, order.unwrap().0, Status::Served);
     }
     // A partial map takes effect at once and leaves the other slots unchanged.
-    node.deliver(Event::SlotMap { whole: false, ranges: vec![range(7, 7, &[1])] });
+    node.deliver(Event::SlotMap { complete: false, ranges: vec![range(7, 7, &[1])] });
     assert_eq!(first_send(&node.request(in_slot(read(500, 9), 7))), Some((1, false)));
     assert_eq!(first_send(&node.request(in_slot(read(501, 9), 8))), Some((3, false)));
     // A complete map replaces the former one. Slots beyond the last one and inverted ranges have no effect.
-    node.deliver(Event::SlotMap { whole: true, ranges: vec![range(9, u16::MAX, &[2]), range(5, 4, &[2])] });
+    node.deliver(Event::SlotMap {
+        complete: true,
+        ranges: vec![range(9, u16::MAX, &[2]), range(5, 4, &[2])],
+    });
     assert_ne!(first_send(&node.request(in_slot(read(502, 9), 8))).map(|s| s.0), None);
     assert_eq!(first_send(&node.request(in_slot(read(503, 9), 16_383))), Some((2, false)));
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -145,7 +145,7 @@
         let mut node = Node::new(Settings { max_attempts: 1, tenants, ..settings() }, 3);
         for id in 1..=12 {
             node.request(write(id, 1));
-            node.outcome(id, 0, ORIGIN, Status::Full);
+            node.outcome(id, 0, ORIGIN, Status::Rejected);
             node.advance(MS);
         }
         node.advance(SECOND);
@@ -192,11 +192,11 @@
 fn after_a_rejection_or_failed_connect_the_next_server_in_the_order_is_tried_at_once() {
     let mut node = Node::new(settings(), 4);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
-    let second = sent_to(&node.outcome(1, 0, first, Status::Full)).unwrap();
+    let second = sent_to(&node.outcome(1, 0, first, Status::Rejected)).unwrap();
     let third = sent_to(&node.outcome(1, 1, second, Status::ConnectFailed)).unwrap();
     assert!(first != second && second != third && first != third);
-    let fourth = sent_to(&node.outcome(1, 2, third, Status::Full)).unwrap();
-    let last = node.outcome(1, 3, fourth, Status::Full);
+    let fourth = sent_to(&node.outcome(1, 2, third, Status::Rejected)).unwrap();
+    let last = node.outcome(1, 3, fourth, Status::Rejected);
     assert!(is_refused(&last, 1), "must be refused when no attempts are left");
 }
 
@@ -229,7 +229,7 @@
 fn an_unsafe_request_is_retried_only_if_it_is_known_not_to_have_run() {
     let mut node = Node::new(settings(), 3);
     node.request(Request { time_left: SECOND, ..write(1, 2) });
-    node.outcome(1, 0, ORIGIN, Status::Full);
+    node.outcome(1, 0, ORIGIN, Status::Rejected);
     assert_eq!(send_count(&node.advance(100 * MS)), 1, "rejected before it ran: must be retried");
     let actions = node.outcome(1, 1, ORIGIN, Status::Reset);
     assert!(
@@ -541,7 +541,8 @@
             requested[tenant] += 1;
             served[tenant] += send_count(&actions);
         }
-        let (status, target) = (if id % 16 == 0 { Status::Full } else { Status::Served }, sent_to(&actions));
+        let (status, target) =
+            (if id % 16 == 0 { Status::Rejected } else { Status::Served }, sent_to(&actions));
         if let Some(mut target) = target {
             let mut attempt = 0;
             while let Some(next) = sent_to(&node.outcome(id, attempt, target, status)) {
@@ -777,7 +778,7 @@
             let (mut target, mut attempt) = (sent_to(&node.request(read(id, id))), 0);
             while let Some(server) = target {
                 assert!(permitted.contains(&server), "sent to {server}");
-                let status = if attempt == 0 { Status::ConnectFailed } else { Status::Full };
+                let status = if attempt == 0 { Status::ConnectFailed } else { Status::Rejected };
                 target = sent_to(&node.outcome(id, attempt, server, status));
                 attempt += 1;
             }
@@ -999,7 +1000,7 @@
         let (mut target, mut attempt) = (sent_to(&node.request(read(id, id))), 0);
         while let Some(server) = target {
             sent += 1;
-            target = sent_to(&node.outcome(id, attempt, server, Status::Full));
+            target = sent_to(&node.outcome(id, attempt, server, Status::Rejected));
             attempt += 1;
         }
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -333,7 +333,7 @@
                     Status::Served,
                     Status::Miss,
                     Status::Error,
-                    Status::Full,
+                    Status::Rejected,
                     Status::TimedOut,
                     Status::ConnectFailed,
                     Status::Reset,
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -22,11 +22,11 @@
 }
 
 impl Fleet {
-    fn new(balancer_count: u32, shares: Shares, call_duration: Micros) -> Fleet {
+    fn new(balancer_count: u32, shares: OriginLimits, call_duration: Micros) -> Fleet {
         let settings = |index| Settings {
             balancers: balancer_count,
             own_index: index,
-            shares: Some(shares),
+            origin_limits: Some(shares),
             ..settings()
         };
         let nodes = (0..balancer_count).map(|index| Node::just_started(settings(index), 3)).collect();
@@ -99,8 +99,11 @@
 #[test]
 fn all_balancers_together_never_have_more_outstanding_calls_than_the_origin_accepts() {
     for (balancer_count, limit) in [(200, 80.0), (200, 10.0), (50, 49.0), (12, 8.0), (7, 20.0), (3, 4.0)] {
-        let mut fleet =
-            Fleet::new(balancer_count, Shares { origin_out: limit, origin_per_s: f64::INFINITY }, 40 * MS);
+        let mut fleet = Fleet::new(
+            balancer_count,
+            OriginLimits { max_outstanding: limit, max_calls_per_s: f64::INFINITY },
+            40 * MS,
+        );
         // Every balancer has calls to make all the time, as when all cached values expire at once.
         for step in 0..200 {
             if step % 4 == 0 {
@@ -124,8 +127,11 @@
 #[test]
 fn every_balancer_gets_turns_even_if_their_number_and_the_limit_have_a_common_divisor() {
     for (balancer_count, limit) in [(4, 2.0), (6, 4.0), (200, 80.0), (200, 1.0), (120, 60.0)] {
-        let mut fleet =
-            Fleet::new(balancer_count, Shares { origin_out: limit, origin_per_s: f64::INFINITY }, 20 * MS);
+        let mut fleet = Fleet::new(
+            balancer_count,
+            OriginLimits { max_outstanding: limit, max_calls_per_s: f64::INFINITY },
+            20 * MS,
+        );
         for step in 0..1_000 {
             if step % 10 == 0 {
                 fleet.write(0..balancer_count as usize);
@@ -144,7 +150,7 @@
 
 #[test]
 fn at_low_load_balancers_wait_for_their_turns_without_refusals() {
-    let mut fleet = Fleet::new(200, Shares { origin_out: 80.0, origin_per_s: 400.0 }, 25 * MS);
+    let mut fleet = Fleet::new(200, OriginLimits { max_outstanding: 80.0, max_calls_per_s: 400.0 }, 25 * MS);
     // 100 writes per second, each at another balancer.
     for number in 0..500usize {
         fleet.write(std::iter::once(number * 37 % 200));
@@ -159,7 +165,7 @@
 
 #[test]
 fn a_rate_share_below_one_call_per_window_is_saved_up_within_the_total_rate() {
-    let mut fleet = Fleet::new(50, Shares { origin_out: 1e6, origin_per_s: 100.0 }, 5 * MS);
+    let mut fleet = Fleet::new(50, OriginLimits { max_outstanding: 1e6, max_calls_per_s: 100.0 }, 5 * MS);
     let calls_before = fleet.calls_by_node.iter().sum::<u64>();
     for step in 0..1_000 {
         if step % 4 == 0 {
@@ -174,7 +180,7 @@
 
 #[test]
 fn without_a_retry_budget_only_requests_that_did_not_run_are_retried() {
-    let config = Settings { retry_budget: 0.0, ..settings() };
+    let config = Settings { retry_budget_per_request: 0.0, ..settings() };
     let mut node = Node::new(config.clone(), 4);
     let target = sent_to(&node.request(read(1, 9))).unwrap();
     assert_eq!(sent_to(&node.outcome(1, 0, target, Status::Error)), None, "retried although it may have run");
@@ -211,9 +217,10 @@
 #[test]
 fn hundreds_of_balancers_take_turns_at_a_cold_server() {
     let mut sent = 0;
-    let shares = Some(Shares { origin_out: 80.0, origin_per_s: 400.0 });
+    let shares = Some(OriginLimits { max_outstanding: 80.0, max_calls_per_s: 400.0 });
     for index in 0..200 {
-        let mut node = Node::new(Settings { balancers: 200, own_index: index, shares, ..settings() }, 2);
+        let mut node =
+            Node::new(Settings { balancers: 200, own_index: index, origin_limits: shares, ..settings() }, 2);
         for id in 1..=5 {
             let target = sent_to(&node.request(read(id, id))).unwrap();
             node.outcome(id, 0, target, Status::Served);
