--- a/crates/mothpier-membership/src/sources.rs
+++ b/crates/mothpier-membership/src/sources.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | list: ready | ready, whatever DNS reports; draining while a gossip item about this process applies |
 //! | list: draining | draining, whatever the other sources report |
-//! | list: gone, or complete without it | gone; its address stays excluded for [`Settings::gone_ms`] |
+//! | list: gone, or complete without it | gone; its address stays excluded for [`Settings::tombstone_ms`] |
 //! | DNS or the fixed set only | ready, cold since first named here, with an id derived from its address |
 //! | DNS no longer; few servers lost | gone |
 //! | DNS no longer; many or all lost at once | kept until further answers confirm the loss for long enough |
@@ -256,7 +256,7 @@
         self.gossip.as_mut()?.next_message(now)
     }
 
-    /// Returns when [`Sources::tell`] or [`Sources::changes`] must be called next, if at all.
+    /// Returns when [`Sources::next_message`] or [`Sources::changes`] must be called next, if at all.
     pub fn next_due(&self, now: u64) -> Option<u64> {
         let gossip = self.gossip.as_ref();
         let tombstone_expiry = self.tombstones.values().copied().filter(|expires_at| *expires_at > now).min();
--- a/crates/mothpier-names/src/resolver.rs
+++ b/crates/mothpier-names/src/resolver.rs
@@ -94,8 +94,8 @@
     Tcp,
 }
 
-/// A query to send now. The caller reports its result exactly once, by [`Resolver::heard`] or
-/// [`Resolver::failed`].
+/// A query to send now. The caller reports its result exactly once, by [`Resolver::handle_answer`] or
+/// [`Resolver::handle_failure`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
     /// Identifies the query when its result is reported.
@@ -571,7 +571,7 @@
         ServiceView { trust: word, servers: servers.into_values().collect(), pending, answers: self.answers }
     }
 
-    /// Returns the latest time at which [`Resolver::asks`] must be called again.
+    /// Returns the latest time at which [`Resolver::due_queries`] must be called again.
     pub fn due(&mut self, now: u64) -> u64 {
         // At the limit of outstanding queries, the next one starts when one of them ends.
         let at_limit = self.tickets.len() >= self.max_outstanding();
--- a/crates/mothpier/src/cancellation.rs
+++ b/crates/mothpier/src/cancellation.rs
@@ -1,4 +1,4 @@
-//! Tells whether the client of a request still waits. Its connection knows that, and the kernel is asked
+//! Reports whether the client of a request still waits. Its connection knows that, and the kernel is asked
 //! where that knowledge may be outdated.
 //!
 //! A process that was suspended, or got no CPU time, continues with the work that is due before its runtime
--- a/crates/mothpier/src/clients.rs
+++ b/crates/mothpier/src/clients.rs
@@ -45,7 +45,7 @@
 /// Retry delay sent with a `BUSY` reply, in milliseconds.
 const BUSY_RETRY_MS: u64 = 100;
 /// Memory reserved for an open request until its reply is written, in addition to its own value, in KB: half
-/// of the largest value that is held whole, since most replies are small.
+/// of the largest value that is buffered whole, since most replies are small.
 const REQUEST_MEMORY_KB: usize = MAX_VALUE / 2 / 1024;
 
 /// State of the node that all client connections depend on.
--- a/crates/mothpier/src/clients/session.rs
+++ b/crates/mothpier/src/clients/session.rs
@@ -133,7 +133,7 @@
             let phase_changed = clients.phase.changed();
             let closing = clients.phase.closing() && !mutation_active(Mutation::KeptIdle);
             // A connection that always has open requests is read no further once the others have had time to
-            // close, except for the rest of a command that had begun by then: each complete command may be
+            // close, except for the rest of a command that had started by then: each complete command may be
             // followed by part of the next one.
             let read_cutoff = clients.phase.read_cutoff().filter(|read_cutoff| match partial_since {
                 None => !is_idle && !self.input_ended,
--- a/crates/mothpier/src/config/sources.rs
+++ b/crates/mothpier/src/config/sources.rs
@@ -160,7 +160,7 @@
             );
         }
     };
-    let rumours = match file.rumours {
+    let gossip = match file.rumours {
         Some(RumoursFile { trust_s, share, tells }) => {
             check_range("rumours.trust_s", trust_s as f64, 1.0, 3_600.0)?;
             check_range("rumours.share", share, 0.0, 0.5)?;
@@ -177,7 +177,7 @@
             confirm: doubt.confirm,
             hold_ms: doubt.hold_s * 1000,
         },
-        gossip: rumours,
+        gossip,
         template: like,
         origin,
         fixed,
--- a/crates/mothpier/src/drains.rs
+++ b/crates/mothpier/src/drains.rs
@@ -63,7 +63,7 @@
     Nobody,
     /// A session of another process of this node.
     AnotherProcess,
-    /// The coordinators could not be asked.
+    /// The coordinators could not be reached.
     Unknown,
 }
 
@@ -305,8 +305,8 @@
         Ok(())
     }
 
-    async fn send(&self, session: &Session<N>, ask: FleetCommand) -> Result<(), String> {
-        match session.fleet(ask).await.map_err(|error| error.to_string())? {
+    async fn send(&self, session: &Session<N>, command: FleetCommand) -> Result<(), String> {
+        match session.fleet(command).await.map_err(|error| error.to_string())? {
             Ok(_) => Ok(()),
             Err(reason @ FleetRefusal::NoNode) => Err(reason.to_string()),
             Err(reason) => {
--- a/crates/mothpier/src/lease_authority.rs
+++ b/crates/mothpier/src/lease_authority.rs
@@ -25,7 +25,7 @@
 pub struct LeaseAuthority<N: Net> {
     net: N,
     client: Rc<Client<N>>,
-    obeyer: RefCell<FenceGuard>,
+    fence_guard: RefCell<FenceGuard>,
     handover: Option<Rc<ProcessHandover>>,
 }
 
@@ -41,8 +41,8 @@
         handover: Option<Rc<ProcessHandover>>,
     ) -> Result<Rc<Self>, String> {
         let client = Client::new(net.clone(), coordination.cluster, coordination.coordinators)?;
-        let obeyer = RefCell::new(FenceGuard::new(client.draw_name()));
-        Ok(Rc::new(LeaseAuthority { net, client, obeyer, handover }))
+        let fence_guard = RefCell::new(FenceGuard::new(client.draw_name()));
+        Ok(Rc::new(LeaseAuthority { net, client, fence_guard, handover }))
     }
 
     fn clock_ms(&self) -> u64 {
@@ -51,9 +51,8 @@
 
     /// Returns the time of the node's clock as JSON, for a lease holder that is about to give a command.
     pub fn clock_json(&self) -> String {
-        let obeyer = self.obeyer.borrow();
-        let clock =
-            serde_json::json!({"clock": obeyer.clock(), "now_ms": self.clock_ms(), "knows": obeyer.knows()});
+        let fence_guard = self.fence_guard.borrow();
+        let clock = serde_json::json!({"clock": fence_guard.clock(), "now_ms": self.clock_ms(), "knows": fence_guard.knows()});
         format!("{clock}\n")
     }
 
@@ -64,26 +63,27 @@
     /// Why the command is refused.
     pub fn authorize(&self, act: &FencedAction) -> Result<(), String> {
         let now = self.clock_ms();
-        let obeyed = self.obeyer.borrow_mut().obey(act, now);
-        if obeyed.is_ok() {
+        let authorized = self.fence_guard.borrow_mut().obey(act, now);
+        if authorized.is_ok() {
             self.store_floors();
             // Lets tools compare the time at which a command was accepted, by the machine's clock, with the
             // lease.
             let at = self.net.boot_time().as_micros();
             self.net.log(format_args!("obeys lease={} fence={} at_us={at}", act.lease, act.fence));
         }
-        obeyed.map_err(|reason| reason.to_string())
+        authorized.map_err(|reason| reason.to_string())
     }
 
     /// Raises the lowest valid fences to those given; none is lowered.
     fn raise_floors(&self, floors: FenceFloors) {
-        self.obeyer.borrow_mut().learn(floors);
+        self.fence_guard.borrow_mut().learn(floors);
         self.store_floors();
     }
 
     /// Stores the lowest valid fences for the next process of the node.
     fn store_floors(&self) {
-        if let (Some(handover), Some(floors)) = (&self.handover, self.obeyer.borrow().handed_over().cloned())
+        if let (Some(handover), Some(floors)) =
+            (&self.handover, self.fence_guard.borrow().handed_over().cloned())
         {
             // A failure to store them is logged there, and the write is retried.
             let _ = handover.update(&self.net, |state, _| state.raise_floors(&floors));
@@ -95,7 +95,7 @@
         loop {
             match self.client.leases(self.net.now() + CALL_TIMEOUT).await {
                 Ok(all) => {
-                    let first = !self.obeyer.borrow().knows();
+                    let first = !self.fence_guard.borrow().knows();
                     self.raise_floors(all.floors);
                     // The fences known to the previous process apply as well, once a majority has answered.
                     if let Some(before) = self.handover.as_ref().map(|s| s.floors()) {
@@ -107,7 +107,7 @@
                     self.follow(all.revision).await;
                 }
                 Err(reason) => {
-                    if !self.obeyer.borrow().knows() {
+                    if !self.fence_guard.borrow().knows() {
                         self.net.log(format_args!(
                             "no coordinators; commands of lease holders are refused: {reason}"
                         ));
--- a/crates/mothpier/src/membership.rs
+++ b/crates/mothpier/src/membership.rs
@@ -20,8 +20,8 @@
         if mutation_active(Mutation::StaleRecord) {
             settings.tombstone_ms = 0;
         }
-        if let Some(rumours) = settings.gossip.as_mut().filter(|_| mutation_active(Mutation::EndlessRumour)) {
-            rumours.sends = u32::MAX;
+        if let Some(gossip) = settings.gossip.as_mut().filter(|_| mutation_active(Mutation::EndlessRumour)) {
+            gossip.sends = u32::MAX;
         }
         Membership(Rc::new(RefCell::new(Sources::new(settings, seed, now))))
     }
--- a/crates/mothpier/src/node.rs
+++ b/crates/mothpier/src/node.rs
@@ -269,7 +269,7 @@
     /// Handles an input: updates the state and queues events for the policy.
     fn handle_input(&mut self, input: NodeInput) {
         match input {
-            // The client is gone: no attempt is made.
+            // The client has disconnected: no attempt is made.
             NodeInput::Client(ClientEvent::Request { answer, .. }) if answer.is_closed() => {}
             NodeInput::Client(ClientEvent::Request { mut request, command, answer, read }) => {
                 let waited = self.net.since(read);
--- a/crates/mothpier/src/node/attempts.rs
+++ b/crates/mothpier/src/node/attempts.rs
@@ -36,7 +36,7 @@
         }
         for id in attempts {
             let Some(pending) = self.in_flight.get_mut(&id) else { continue };
-            let unsent = match pending.call.take_if(|call| !call.has_begun()) {
+            let unsent = match pending.call.take_if(|call| !call.has_started()) {
                 Some(call) => !call.give_up(),
                 None => pending.call.is_none() && self.parts.servers.withdraw(pending.server, id),
             };
--- a/crates/mothpier/src/origin.rs
+++ b/crates/mothpier/src/origin.rs
@@ -66,7 +66,7 @@
 /// The progress of a call.
 struct Progress {
     /// The request is being written, or has been.
-    begun: Cell<bool>,
+    started: Cell<bool>,
     /// Counts the call as an attempt once it is written; `None` for a probe, which is not counted.
     attempt_metrics: Option<Rc<Metrics>>,
     attempt: AttemptId,
@@ -81,14 +81,14 @@
 
 impl<N: Net> Call<N> {
     /// Returns whether the request is being written, or has been.
-    pub fn has_begun(&self) -> bool {
-        self.progress.begun.get()
+    pub fn has_started(&self) -> bool {
+        self.progress.started.get()
     }
 
     /// Stops waiting, which closes the connection. Returns whether the call may have run.
     pub fn give_up(self) -> bool {
         self.task.abort();
-        self.progress.begun.get()
+        self.progress.started.get()
     }
 }
 
@@ -216,7 +216,7 @@
         outgoing: Outgoing,
     ) -> Call<N> {
         let progress = Rc::new(Progress {
-            begun: Cell::new(false),
+            started: Cell::new(false),
             attempt_metrics: outgoing.budget.is_some().then(|| self.metrics.clone()),
             attempt,
             events: self.events.clone(),
@@ -313,7 +313,7 @@
         let (cancel, net) = (budget.command.cancel.clone(), net.clone());
         connection.gate.check_before_write(move || !cancel.is_cancelled(net.now()));
     }
-    progress.begun.set(true);
+    progress.started.set(true);
     let mut sending = std::pin::pin!(connection.sender.try_send_request(outgoing.request));
     // By then the request has been written completely, or the connection has ended.
     let early_result = net.timeout(ASSUMED_WRITTEN_AFTER, sending.as_mut()).await;
--- a/crates/mothpier/src/phase.rs
+++ b/crates/mothpier/src/phase.rs
@@ -39,7 +39,7 @@
     list_received: Cell<bool>,
     /// Whether the node is drained, by [`DrainSource`].
     drained: [Cell<bool>; 2],
-    /// Number of drains begun so far.
+    /// Number of drains started so far.
     drain_count: Cell<u64>,
     /// The drained servers of the fleet are not known yet.
     awaiting_fleet: Cell<bool>,
--- a/crates/mothpier/src/servers.rs
+++ b/crates/mothpier/src/servers.rs
@@ -54,7 +54,7 @@
 pub enum Ended {
     /// It was answered with a well-formed frame.
     Answered(BytesFrame),
-    /// Its answer has begun, with a value that is too large to be buffered.
+    /// Its answer has started, with a value that is too large to be buffered.
     AnswerStarted(StreamedValue),
     /// What was received cannot be its answer. It has run; the connection is closed.
     InvalidAnswer,
--- a/crates/mothpier/src/servers/reader.rs
+++ b/crates/mothpier/src/servers/reader.rs
@@ -15,7 +15,7 @@
 use crate::resp;
 
 /// An answer that has arrived in part must be complete within this time, since values are small and the
-/// servers near. Otherwise the attempt ends as spoilt, and those behind it get no answer.
+/// servers near. Otherwise the answer counts as invalid, and those behind it get no answer.
 const PARTIAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// Bytes read from a connection at once.
 const READ_SIZE: usize = 4096;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -34,7 +34,7 @@
 const GATE_MAX_OUTSTANDING_TOTAL: f64 = 80.0;
 /// Gate: call rate as a share of the quotas, or of the admitted rate where there are no quotas.
 const GATE_QUOTA_SHARE: f64 = 1.0;
-/// Gate: minimum call rate per second, as the design note gives it.
+/// Gate: minimum call rate per second.
 const GATE_MIN_CALLS_PER_S: f64 = 30.0;
 /// Gate: length of the window in which calls are counted, in longest target latencies.
 const GATE_WINDOW_SHARE: f64 = 0.25;
@@ -47,11 +47,9 @@
 /// Gate: a call longer than this share of the shortest target latency is a sign of congestion.
 const GATE_SLOW_SHARE: f64 = 0.8;
 
-/// Minimum delay of a postponed request, in target latencies: the design note's 1 s, scaled by its limit of
-/// 60 s.
+/// Minimum delay of a postponed request, in target latencies: 1 s for a target of 60 s.
 const POSTPONE_MIN_SHARE: f64 = 1.0 / 60.0;
-/// Maximum delay of a postponed request, in target latencies: the design note's 3 s, scaled by its limit of
-/// 60 s.
+/// Maximum delay of a postponed request, in target latencies: 3 s for a target of 60 s.
 const POSTPONE_MAX_SHARE: f64 = 3.0 / 60.0;
 
 /// An attempt is slow when it has been unanswered for this share of its target latency, and nearly late after
