--- a/crates/mothpier-sim/src/play/nodes.rs
+++ b/crates/mothpier-sim/src/play/nodes.rs
@@ -36,11 +36,11 @@
             let nodes = self.nodes.borrow();
             config.cluster = Some(nodes.iter().map(|n| n.address).collect());
         }
-        config.boxes = (self.settings.boxes != Boxes::Plain).then(|| config::ServerPoolConfig {
+        config.server_pool = (self.settings.boxes != Boxes::Plain).then(|| config::ServerPoolConfig {
             read_copies: false,
             budget: RefreshBudget {
                 tier_per_s: self.settings.questions_per_s,
-                calm: 5_000,
+                idle_interval_ms: 5_000,
                 ..RefreshBudget::default()
             },
             wait: Duration::from_millis(400),
--- a/crates/mothpier/src/origin.rs
+++ b/crates/mothpier/src/origin.rs
@@ -66,7 +66,7 @@
 /// The progress of a call.
 struct Progress {
     /// The request is being written, or has been.
-    begun: Cell<bool>,
+    started: Cell<bool>,
     /// Counts the call as an attempt once it is written; `None` for a probe, which is not counted.
     attempt_metrics: Option<Rc<Metrics>>,
     attempt: AttemptId,
@@ -81,14 +81,14 @@
 
 impl<N: Net> Call<N> {
     /// Returns whether the request is being written, or has been.
-    pub fn begun(&self) -> bool {
-        self.progress.begun.get()
+    pub fn has_started(&self) -> bool {
+        self.progress.started.get()
     }
 
     /// Stops waiting, which closes the connection. Returns whether the call may have run.
     pub fn give_up(self) -> bool {
         self.task.abort();
-        self.progress.begun.get()
+        self.progress.started.get()
     }
 }
 
@@ -136,7 +136,7 @@
     connect_timeout: Duration,
     /// Permits for connections to all origins together.
     descriptors: Arc<Semaphore>,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     events: mpsc::Sender<NodeInput>,
 }
 
@@ -146,16 +146,16 @@
         idle_close: Duration,
         connect_timeout: Duration,
         descriptors: usize,
-        figures: Rc<Metrics>,
+        metrics: Rc<Metrics>,
         events: mpsc::Sender<NodeInput>,
     ) -> Self {
         let descriptors = Arc::new(Semaphore::new(descriptors.max(1)));
         let idle_close = idle_close.mul_f64(REUSABLE_IDLE_FRACTION);
-        Origins { net, pools: HashMap::new(), idle_close, connect_timeout, descriptors, figures, events }
+        Origins { net, pools: HashMap::new(), idle_close, connect_timeout, descriptors, metrics, events }
     }
 
     /// Applies an entry of the server list, of an origin that is not gone.
-    pub fn listed(&mut self, server: ServerId, address: Option<SocketAddr>, ready: bool) {
+    pub fn apply_entry(&mut self, server: ServerId, address: Option<SocketAddr>, ready: bool) {
         let known = self.pools.get(&server).filter(|p| address.is_none() || p.address == address);
         if let Some(pool) = known {
             pool.ready.set(ready);
@@ -176,7 +176,7 @@
     }
 
     /// Removes an origin that the server list no longer contains.
-    pub fn gone(&mut self, server: ServerId) {
+    pub fn remove(&mut self, server: ServerId) {
         if let Some(pool) = self.pools.remove(&server) {
             // A call in progress still holds the pool and must see that nothing new may be sent.
             pool.ready.set(false);
@@ -216,8 +216,8 @@
         outgoing: Outgoing,
     ) -> Call<N> {
         let progress = Rc::new(Progress {
-            begun: Cell::new(false),
-            attempt_metrics: outgoing.budget.is_some().then(|| self.figures.clone()),
+            started: Cell::new(false),
+            attempt_metrics: outgoing.budget.is_some().then(|| self.metrics.clone()),
             attempt,
             events: self.events.clone(),
         });
@@ -252,7 +252,12 @@
 /// Streams a body to its client. Returns whether the body was received and accepted completely.
 async fn stream_body(net: &impl Net, mut body: Incoming, length: usize, progress: &Progress) -> bool {
     let (chunks, value) = StreamedValue::of(length);
-    if progress.events.send(NodeInput::OriginBegan { attempt: progress.attempt, value }).await.is_err() {
+    if progress
+        .events
+        .send(NodeInput::OriginAnswerStarted { attempt: progress.attempt, value })
+        .await
+        .is_err()
+    {
         return false;
     }
     let mut remaining = length;
@@ -308,14 +313,14 @@
         let (cancel, net) = (budget.command.cancel.clone(), net.clone());
         connection.gate.check_before_write(move || !cancel.is_cancelled(net.now()));
     }
-    progress.begun.set(true);
+    progress.started.set(true);
     let mut sending = std::pin::pin!(connection.sender.try_send_request(outgoing.request));
     // By then the request has been written completely, or the connection has ended.
     let early_result = net.timeout(ASSUMED_WRITTEN_AFTER, sending.as_mut()).await;
     let not_written =
         connection.gate.has_refused() || matches!(&early_result, Some(Err(e)) if e.message().is_some());
     if !not_written {
-        progress.attempt_metrics.iter().for_each(|figures| figures.attempt());
+        progress.attempt_metrics.iter().for_each(|metrics| metrics.count_attempt());
     }
     let sent = match early_result {
         Some(sent) => sent,
@@ -337,8 +342,8 @@
     let load = header("X-Load");
     let status = match response.status().as_u16() {
         200 => Status::Served,
-        500 if mutation_active(Mutation::ErrorNeverRan) => Status::Full,
-        503 | 504 if header("X-Not-Run") == "1" => Status::Full,
+        500 if mutation_active(Mutation::ErrorNeverRan) => Status::Rejected,
+        503 | 504 if header("X-Not-Run") == "1" => Status::Rejected,
         _ => Status::Error,
     };
     let body = response.into_body();
@@ -350,7 +355,7 @@
         Bytes::new()
     } else {
         // A body that is too long, or not complete in time, is an error; the connection is closed.
-        let Some(Ok(value)) = net.timeout(BODY_TIMEOUT, http::body(body, MAX_VALUE)).await else {
+        let Some(Ok(value)) = net.timeout(BODY_TIMEOUT, http::read_body(body, MAX_VALUE)).await else {
             return Ended::with_status(Status::Reset);
         };
         value
--- a/crates/mothpier/src/peers.rs
+++ b/crates/mothpier/src/peers.rs
@@ -52,7 +52,7 @@
                         continue;
                     }
                     let unix_ms = peer_net.unix_time().as_millis() as u64;
-                    tier.borrow_mut().heard(unix_ms, from, &buffer[..length.min(MAX_MESSAGE_BYTES)]);
+                    tier.borrow_mut().handle_message(unix_ms, from, &buffer[..length.min(MAX_MESSAGE_BYTES)]);
                 } else if length <= MAX_MESSAGE_BYTES {
                     let bytes = buffer[..length].to_vec();
                     // Dropped if the queue is full: senders must tolerate the loss of datagrams anyway.
@@ -65,16 +65,16 @@
     }
 
     /// Sends a message to all other nodes: to the shared address if there is one, otherwise to each node.
-    pub fn tell_all(&self, own_index: usize, bytes: &[u8]) {
+    pub fn broadcast(&self, own_index: usize, bytes: &[u8]) {
         if self.all.is_some() {
-            return self.tell(None, bytes);
+            return self.send(None, bytes);
         }
-        (0..self.addresses.len()).filter(|n| *n != own_index).for_each(|n| self.tell(Some(n as u32), bytes));
+        (0..self.addresses.len()).filter(|n| *n != own_index).for_each(|n| self.send(Some(n as u32), bytes));
     }
 
     /// Sends a message to one node, or to the shared address for `None`. It is lost if it cannot be sent at
     /// once.
-    pub fn tell(&self, to: Option<u32>, bytes: &[u8]) {
+    pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
         let address = match to {
             Some(number) => self.addresses.get(number as usize).copied(),
             None => self.all,
