--- a/crates/mothpier/src/clients/session.rs
+++ b/crates/mothpier/src/clients/session.rs
@@ -211,7 +211,7 @@
                         None => return CloseReason::SlowReader,
                     }
                     answered.for_each(|request| clients.metrics.count_end(request.class, request.outcome));
-                    let read_cutoff = clients.phase.read_cutoff().filter(|read_cutoff| *read_cutoff <= net.now());
+                    let read_cutoff = clients.phase.read_cutoff().filter(|cutoff| *cutoff <= net.now());
                     if read_cutoff.is_some_and(|cutoff| {
                         partial_since.map_or(buffer.is_empty(), |partial_since| partial_since >= cutoff)
                     }) && self.pending.is_empty()
--- a/crates/mothpier/src/lease_authority.rs
+++ b/crates/mothpier/src/lease_authority.rs
@@ -51,8 +51,9 @@
 
     /// Returns the time of the node's clock as JSON, for a lease holder that is about to give a command.
     pub fn clock_json(&self) -> String {
-        let fence_guard = self.fence_guard.borrow();
-        let clock = serde_json::json!({"clock": fence_guard.clock(), "now_ms": self.clock_ms(), "knows": fence_guard.knows()});
+        let guard = self.fence_guard.borrow();
+        let clock =
+            serde_json::json!({"clock": guard.clock(), "now_ms": self.clock_ms(), "knows": guard.knows()});
         format!("{clock}\n")
     }
 
--- a/crates/mothpier/src/servers/large_value.rs
+++ b/crates/mothpier/src/servers/large_value.rs
@@ -22,10 +22,10 @@
 /// Streams a value to its client and returns the answer's frame with an empty value in its place, or `None`
 /// if the connection must be closed.
 ///
-/// If the client has disconnected, the value is read to its end only if other commands wait behind it. If the client
-/// reads slowly while other commands wait behind the value, the rest is buffered as far as memory permits.
-/// That avoids a deadlock: a client's answers are sent in the order of its commands, so the answer that the
-/// client waits for may come behind the very value that it is not reading yet.
+/// If the client has disconnected, the value is read to its end only if other commands wait behind it. If
+/// the client reads slowly while other commands wait behind the value, the rest is buffered as far as
+/// memory permits. That avoids a deadlock: a client's answers are sent in the order of its commands, so the
+/// answer that the client waits for may come behind the very value that it is not reading yet.
 pub(super) async fn stream_value<R: ReadHalf>(
     net: &impl Net,
     (shared, memory): (&SharedState, &Arc<Semaphore>),
